--- a/internal/session/assignment.go
+++ b/internal/session/assignment.go
@@ -2,27 +2,31 @@
 
 import "fmt"
 
-// Assignment is what the agreed rules say at a moment of a database as clients name it, a tenant. Its zero value says
-// nothing: the pool's own group serves it.
+// Assignment is what the agreed rules currently say about a tenant, that is, a database by the name that
+// clients use. The zero value means that the rules do not mention the tenant, and the pool's own group serves
+// it.
 type Assignment struct {
-	Group    uint64
-	HasGroup bool // the rules name the group
-	// Undecided is set while two versions of the rules meet that name different groups, or without a lease.
+	Group uint64
+	// HasGroup is set if the rules name a group; Group is valid only then.
+	HasGroup bool
+	// Undecided is set while two versions of the rules that name different groups are both in use, or while
+	// this pooler has no lease.
 	Undecided bool
-	// Paused has new transactions wait.
+	// Paused is set if new transactions have to wait.
 	Paused bool
-	// PausedSince is when this pooler received the pause, in clock milliseconds.
+	// PausedSince is the time at which this pooler learned of the pause, in clock milliseconds.
 	PausedSince float64
 }
 
-// Equal reports whether both mean the same for a transaction.
+// Equal reports whether both assignments have the same effect on a transaction. It ignores PausedSince.
 func (a Assignment) Equal(other Assignment) bool {
 	a.PausedSince, other.PausedSince = 0, 0
 	return a == other
 }
 
-// GroupFor returns the group to which a transaction goes that was routed by route. A comment that names another group
-// than the rules do is a *GroupMismatchError: the transaction would write where the database is not.
+// GroupFor returns the group that runs a transaction with the given route. If the query's comment names
+// another group than the rules do, it returns a *GroupMismatchError, because the transaction would write to a
+// group that does not serve the database.
 func (a Assignment) GroupFor(database string, route *Route) (group uint64, err error) {
 	if !a.HasGroup || a.Undecided {
 		return route.Group, nil
@@ -33,21 +37,22 @@
 	return a.Group, nil
 }
 
-// GroupMismatchError says that a comment names another group than the one that serves the database.
+// GroupMismatchError reports that a query's comment names another group than the one that serves the
+// database.
 type GroupMismatchError struct {
 	Database            string
 	Assigned, Requested uint64
 }
 
-// Error names the database and both groups.
+// Error returns a message that names the database and both groups.
 func (e *GroupMismatchError) Error() string {
 	return fmt.Sprintf("the comment's cluster is %d, but database %q is at %d", e.Requested, e.Database, e.Assigned)
 }
 
-// Code is the reason.
+// Code returns the stable identifier of the error.
 func (e *GroupMismatchError) Code() string { return "home_contradicted" }
 
-// Advice says what can be done.
+// Advice tells the user how to resolve the error.
 func (e *GroupMismatchError) Advice() string {
 	return "leave cluster= out of the comment: the pooler knows where the database is"
 }
--- a/internal/session/classify.go
+++ b/internal/session/classify.go
@@ -2,46 +2,47 @@
 
 import "strings"
 
-// leadingKeywordCount is how many words of a statement are looked at for its kind.
+// leadingKeywordCount is the number of leading words of a statement that determine its kind.
 const leadingKeywordCount = 6
 
-// leadingKeywords gives the first folded words of a statement; a literal counts as "".
-func leadingKeywords(t []token) (keywords [leadingKeywordCount]string) {
-	for i := 0; i < len(keywords) && i < len(t); i++ {
-		if !t[i].literal {
-			keywords[i] = t[i].folded
+// leadingKeywords returns the first words of a statement, folded to lower case. A literal is returned as "".
+func leadingKeywords(tokens []token) (keywords [leadingKeywordCount]string) {
+	for i := 0; i < len(keywords) && i < len(tokens); i++ {
+		if !tokens[i].literal {
+			keywords[i] = tokens[i].folded
 		}
 	}
 	return keywords
 }
 
-// classify says what a statement of text means to the session that runs it.
-func classify(text string, t []token) Statement {
-	keywords := leadingKeywords(t)
+// classify determines the effect of a statement on the session that runs it. tokens are the statement's
+// tokens in text.
+func classify(text string, tokens []token) Statement {
+	keywords := leadingKeywords(tokens)
 	switch keywords[0] {
 	case "select", "values", "table":
-		return classifyCalls(t, Statement{Kind: Select})
+		return classifyCalls(tokens, Statement{Kind: Select})
 	}
-	if s, ok := classifyTransaction(t, &keywords); ok {
+	if s, ok := classifyTransaction(tokens, &keywords); ok {
 		return s
 	}
-	if s, ok := classifySettings(text, t, &keywords); ok {
+	if s, ok := classifySettings(text, tokens, &keywords); ok {
 		return s
 	}
-	if s, ok := classifyNamed(t, &keywords); ok {
+	if s, ok := classifyNamed(tokens, &keywords); ok {
 		return s
 	}
-	return classifyCalls(t, Statement{})
+	return classifyCalls(tokens, Statement{})
 }
 
-// classifyTransaction reads statements that begin, end or divide a transaction.
-func classifyTransaction(t []token, keywords *[leadingKeywordCount]string) (s Statement, ok bool) {
+// classifyTransaction classifies statements that begin or end a transaction or that use savepoints.
+func classifyTransaction(tokens []token, keywords *[leadingKeywordCount]string) (s Statement, ok bool) {
 	switch keywords[0] {
 	case "begin":
-		return parseBegin(t), true
+		return parseBegin(tokens), true
 	case "start":
 		if keywords[1] == "transaction" {
-			return parseBegin(t), true
+			return parseBegin(tokens), true
 		}
 	case "commit", "end":
 		if keywords[1] == "prepared" {
@@ -54,25 +55,25 @@
 		if keywords[1] == "prepared" {
 			return Statement{}, true
 		}
-		return parseRollback(t), true
+		return parseRollback(tokens), true
 	case "savepoint":
-		return namedStatement(Savepoint, t, 1), true
+		return namedStatement(Savepoint, tokens, 1), true
 	case "release":
-		if keywords[1] == "savepoint" && len(t) > 2 {
-			return namedStatement(Release, t, 2), true
+		if keywords[1] == "savepoint" && len(tokens) > 2 {
+			return namedStatement(Release, tokens, 2), true
 		}
-		return namedStatement(Release, t, 1), true
+		return namedStatement(Release, tokens, 1), true
 	}
 	return Statement{}, false
 }
 
-// classifySettings reads statements that change settings.
-func classifySettings(text string, t []token, keywords *[leadingKeywordCount]string) (s Statement, ok bool) {
+// classifySettings classifies statements that change settings.
+func classifySettings(text string, tokens []token, keywords *[leadingKeywordCount]string) (s Statement, ok bool) {
 	switch keywords[0] {
 	case "set":
-		return parseSet(text, t), true
+		return parseSet(text, tokens), true
 	case "reset":
-		return parseReset(t), true
+		return parseReset(tokens), true
 	case "discard":
 		if keywords[1] == "all" {
 			return Statement{Kind: DiscardAll}, true
@@ -82,18 +83,19 @@
 	return Statement{}, false
 }
 
-// classifyNamed reads statements that make, use or drop what a session has by name, and is bound by.
-func classifyNamed(t []token, keywords *[leadingKeywordCount]string) (s Statement, ok bool) {
+// classifyNamed classifies statements that create, use or drop named objects of a session, such as prepared
+// statements, and statements that bind the session to its connection.
+func classifyNamed(tokens []token, keywords *[leadingKeywordCount]string) (s Statement, ok bool) {
 	switch keywords[0] {
 	case "prepare":
 		if keywords[1] == "transaction" {
-			return Statement{Kind: Commit}, true // the session's transaction ends
+			return Statement{Kind: Commit}, true // it ends the session's transaction, as COMMIT does
 		}
 		return Statement{Kind: MakesSticky, Cause: CausePrepare}, true
 	case "execute":
-		return namedStatement(Execute, t, 1), true
+		return namedStatement(Execute, tokens, 1), true
 	case "deallocate":
-		return parseDeallocate(t, keywords), true
+		return parseDeallocate(tokens, keywords), true
 	case "listen":
 		return Statement{Kind: MakesSticky, Cause: CauseListen}, true
 	case "load":
@@ -105,103 +107,108 @@
 			}
 		}
 	case "declare":
-		if declaresCursorWithHold(t) {
+		if declaresCursorWithHold(tokens) {
 			return Statement{Kind: MakesSticky, Cause: CauseCursor}, true
 		}
 	}
 	return Statement{}, false
 }
 
-// declaresCursorWithHold reports whether a DECLARE has WITH HOLD, in front of its query.
-func declaresCursorWithHold(t []token) bool {
-	for i := 2; i+1 < len(t); i++ {
-		if t[i].folded == "with" && t[i+1].folded == "hold" {
+// declaresCursorWithHold reports whether a DECLARE has WITH HOLD before its query.
+func declaresCursorWithHold(tokens []token) bool {
+	for i := 2; i+1 < len(tokens); i++ {
+		if tokens[i].folded == "with" && tokens[i+1].folded == "hold" {
 			return true
 		}
-		if t[i].folded == "for" {
+		if tokens[i].folded == "for" {
 			break
 		}
 	}
 	return false
 }
 
-// classifyCalls looks for functions that change the session from inside another statement.
-func classifyCalls(t []token, s Statement) Statement {
-	for i := range t {
-		if t[i].literal || i+1 >= len(t) {
+// classifyCalls looks inside a statement for function calls and clauses that change the session, and for
+// clauses that require a primary. It returns s, changed accordingly.
+func classifyCalls(tokens []token, s Statement) Statement {
+	for i := range tokens {
+		if tokens[i].literal || i+1 >= len(tokens) {
 			continue
 		}
-		next := t[i+1].text
-		switch w := t[i].folded; {
-		case next == "(" && w == "set_config":
-			if !isLocalConfig(t[i+2:]) {
+		next := tokens[i+1].text
+		switch word := tokens[i].folded; {
+		case next == "(" && word == "set_config":
+			if !isLocalConfig(tokens[i+2:]) {
 				return Statement{Kind: MakesSticky, Cause: CauseUnreadable}
 			}
-		case next == "(" && strings.HasPrefix(w, "pg_") && strings.Contains(w, "advisory_lock") && !strings.Contains(w, "xact"):
+		case next == "(" && strings.HasPrefix(word, "pg_") && strings.Contains(word, "advisory_lock") && !strings.Contains(word, "xact"):
 			return Statement{Kind: MakesSticky, Cause: CauseLock}
-		case w == "into" && (t[i+1].folded == "temp" || t[i+1].folded == "temporary") && s.Kind == Select:
+		case word == "into" && (tokens[i+1].folded == "temp" || tokens[i+1].folded == "temporary") && s.Kind == Select:
 			return Statement{Kind: MakesSticky, Cause: CauseTemporary}
-		case w == "into" || w == "for" && (t[i+1].folded == "update" || t[i+1].folded == "share" || t[i+1].folded == "no" || t[i+1].folded == "key"):
-			s.Kind = Other // it writes, or locks, which a replica does not do
+		case word == "into" || word == "for" && (tokens[i+1].folded == "update" || tokens[i+1].folded == "share" || tokens[i+1].folded == "no" || tokens[i+1].folded == "key"):
+			// The statement writes or takes row locks, which a replica cannot do.
+			s.Kind = Other
 		}
 	}
 	return s
 }
 
-// isLocalConfig reports whether the arguments of set_config end in true: the setting ends with the transaction.
-func isLocalConfig(t []token) bool {
+// isLocalConfig reports whether the last argument of a set_config call is true, so that the setting ends with
+// the transaction. tokens begin with the first argument.
+func isLocalConfig(tokens []token) bool {
 	depth := 1
-	for i := range t {
-		switch t[i].text {
+	for i := range tokens {
+		switch tokens[i].text {
 		case "(":
 			depth++
 		case ")":
 			if depth--; depth == 0 {
-				return i > 0 && t[i-1].folded == "true"
+				return i > 0 && tokens[i-1].folded == "true"
 			}
 		}
 	}
 	return false
 }
 
-func namedStatement(k StatementKind, t []token, i int) Statement {
-	if i >= len(t) || !t[i].identifier {
+// namedStatement returns a statement of this kind whose name is the token at nameIndex. Without an identifier
+// there, the effect of the statement is unknown.
+func namedStatement(kind StatementKind, tokens []token, nameIndex int) Statement {
+	if nameIndex >= len(tokens) || !tokens[nameIndex].identifier {
 		return Statement{Kind: MakesSticky, Cause: CauseUnreadable}
 	}
-	return Statement{Kind: k, Name: t[i].folded, from: t[i].from, to: t[i].to}
+	return Statement{Kind: kind, Name: tokens[nameIndex].folded, from: tokens[nameIndex].from, to: tokens[nameIndex].to}
 }
 
-func parseBegin(t []token) Statement {
+func parseBegin(tokens []token) Statement {
 	s := Statement{Kind: Begin}
-	for i := 1; i+1 < len(t); i++ {
-		if t[i].folded == "read" {
-			s.ReadOnly, s.Writable = t[i+1].folded == "only", t[i+1].folded == "write"
+	for i := 1; i+1 < len(tokens); i++ {
+		if tokens[i].folded == "read" {
+			s.ReadOnly, s.Writable = tokens[i+1].folded == "only", tokens[i+1].folded == "write"
 		}
 	}
 	return s
 }
 
-// parseRollback reads ROLLBACK, and ROLLBACK TO a savepoint.
-func parseRollback(t []token) Statement {
-	for i := 1; i < len(t) && i < 4; i++ {
-		if t[i].folded == "to" && !t[i].literal {
+// parseRollback parses ROLLBACK and ROLLBACK TO SAVEPOINT.
+func parseRollback(tokens []token) Statement {
+	for i := 1; i < len(tokens) && i < 4; i++ {
+		if tokens[i].folded == "to" && !tokens[i].literal {
 			i++
-			if i < len(t)-1 && t[i].folded == "savepoint" {
+			if i < len(tokens)-1 && tokens[i].folded == "savepoint" {
 				i++
 			}
-			return namedStatement(RollbackTo, t, i)
+			return namedStatement(RollbackTo, tokens, i)
 		}
 	}
 	return Statement{Kind: Rollback}
 }
 
-func parseDeallocate(t []token, keywords *[leadingKeywordCount]string) Statement {
+func parseDeallocate(tokens []token, keywords *[leadingKeywordCount]string) Statement {
 	i := 1
-	if keywords[1] == "prepare" && len(t) > 2 {
+	if keywords[1] == "prepare" && len(tokens) > 2 {
 		i = 2
 	}
-	if i < len(t) && t[i].folded == "all" && t[i].text != `"all"` {
+	if i < len(tokens) && tokens[i].folded == "all" && tokens[i].text != `"all"` {
 		return Statement{Kind: DeallocateAll}
 	}
-	return namedStatement(Deallocate, t, i)
+	return namedStatement(Deallocate, tokens, i)
 }
--- a/internal/session/doc.go
+++ b/internal/session/doc.go
@@ -1,8 +1,9 @@
-// Package session decides what a client's session is and how it is carried from one server connection to the next:
-// which settings it has, which statements it prepared, which transaction it is in, where that transaction may run and
-// what it means when a connection is lost. It does no I/O and reads no clock; a front feeds it what was sent and what
-// came back, and the server's tags and status are the truth.
+// Package session tracks the state of a client's session, so that the session can move from one server
+// connection to another: its settings, its prepared statements, its current transaction, where that
+// transaction may run, and what the loss of a connection means for it. The package does no I/O and reads no
+// clock. A front passes in the messages that were sent and received; where they differ from what the
+// statements suggest, the server's command tags and transaction status are authoritative.
 //
-// Nothing in it is safe for concurrent use: what belongs to a session, and what a front's sessions share, belongs to the
-// goroutine of that front.
+// Nothing in this package is safe for concurrent use. The state of a session, and the state that the sessions
+// of a front share, may only be used by the goroutine of that front.
 package session
--- a/internal/session/parse_set.go
+++ b/internal/session/parse_set.go
@@ -2,10 +2,10 @@
 
 import "strings"
 
-func parseReset(t []token) Statement {
-	name, next := parseSettingName(t, 1)
+func parseReset(tokens []token) Statement {
+	name, next := parseSettingName(tokens, 1)
 	switch {
-	case name == "" || next < len(t):
+	case name == "" || next < len(tokens):
 		return Statement{Kind: MakesSticky, Cause: CauseUnreadable}
 	case name == "all":
 		return Statement{Kind: ResetAll}
@@ -13,84 +13,88 @@
 	return Statement{Kind: Reset, Name: name}
 }
 
-// parseSettingName reads the name of a setting, which may have a prefix, and the forms that have words of their own.
-func parseSettingName(t []token, i int) (name string, next int) {
-	if i >= len(t) || !t[i].identifier {
+// parseSettingName parses the name of a setting, which may have a prefix. It also accepts TIME ZONE and
+// SESSION AUTHORIZATION. next is the index of the token after the name.
+func parseSettingName(tokens []token, i int) (name string, next int) {
+	if i >= len(tokens) || !tokens[i].identifier {
 		return "", i
 	}
 	switch {
-	case t[i].folded == "time" && i+1 < len(t) && t[i+1].folded == "zone":
+	case tokens[i].folded == "time" && i+1 < len(tokens) && tokens[i+1].folded == "zone":
 		return "timezone", i + 2
-	case t[i].folded == "session" && i+1 < len(t) && t[i+1].folded == "authorization":
+	case tokens[i].folded == "session" && i+1 < len(tokens) && tokens[i+1].folded == "authorization":
 		return "session_authorization", i + 2
 	}
-	name = strings.ToLower(t[i].folded)
-	for i++; i+1 < len(t) && t[i].text == "." && t[i+1].identifier; i += 2 {
-		name += "." + strings.ToLower(t[i+1].folded)
+	name = strings.ToLower(tokens[i].folded)
+	for i++; i+1 < len(tokens) && tokens[i].text == "." && tokens[i+1].identifier; i += 2 {
+		name += "." + strings.ToLower(tokens[i+1].folded)
 	}
 	return name, i
 }
 
-// parseSet reads SET in all of its forms. What is retained is the client's own text, which a server has taken once.
-func parseSet(text string, t []token) Statement {
-	if len(t) < 3 {
+// parseSet parses all forms of SET. To set the value on another connection it keeps the client's own text,
+// which a server has already accepted.
+func parseSet(text string, tokens []token) Statement {
+	if len(tokens) < 3 {
 		return unreadable()
 	}
-	at, kind := 1, Set
-	switch t[1].folded {
+	nameIndex, kind := 1, Set
+	switch tokens[1].folded {
 	case "local":
-		at, kind = 2, SetLocal
+		nameIndex, kind = 2, SetLocal
 	case "session":
-		switch t[2].folded {
+		switch tokens[2].folded {
 		case "characteristics":
-			return parseCharacteristics(t)
+			return parseCharacteristics(tokens)
 		case "authorization":
 		default:
-			at = 2
+			nameIndex = 2
 		}
 	case "transaction", "constraints":
-		return Statement{Kind: SetLocal} // of this transaction alone
+		return Statement{Kind: SetLocal} // applies to this transaction only
 	}
-	ownForm := at < len(t) && hasOwnForm(t[at].folded)
-	name, next := parseSettingName(t, at)
+	specialSyntax := nameIndex < len(tokens) && hasSpecialSyntax(tokens[nameIndex].folded)
+	name, next := parseSettingName(tokens, nameIndex)
 	switch name {
 	case "names":
 		name = "client_encoding"
 	case "xml":
 		return unreadable()
 	}
-	if name == "" || next >= len(t) {
+	if name == "" || next >= len(tokens) {
 		return unreadable()
 	}
-	value := next
-	if t[next].folded == "to" || t[next].text == "=" {
-		value = next + 1
-	} else if !ownForm {
+	valueIndex := next
+	if tokens[next].folded == "to" || tokens[next].text == "=" {
+		valueIndex = next + 1
+	} else if !specialSyntax {
 		return unreadable()
 	}
-	if value >= len(t) || t[value].folded == "from" && !t[value].literal {
+	if valueIndex >= len(tokens) || tokens[valueIndex].folded == "from" && !tokens[valueIndex].literal {
 		return unreadable()
 	}
 	if kind == SetLocal {
 		return Statement{Kind: SetLocal, Name: name}
 	}
-	if value == len(t)-1 && isDefaultValue(name, &t[value]) {
+	if valueIndex == len(tokens)-1 && isDefaultValue(name, &tokens[valueIndex]) {
 		return Statement{Kind: Reset, Name: name}
 	}
-	join := " TO "
-	if ownForm && value == next {
-		join = " "
+	separator := " TO "
+	if specialSyntax && valueIndex == next {
+		separator = " "
 	}
-	head, tail := text[t[at].from:t[next-1].to], text[t[value].from:t[len(t)-1].to]
-	return Statement{Kind: Set, Name: name, Render: "SET " + head + join + tail}
+	nameText, valueText := text[tokens[nameIndex].from:tokens[next-1].to], text[tokens[valueIndex].from:tokens[len(tokens)-1].to]
+	return Statement{Kind: Set, Name: name, Render: "SET " + nameText + separator + valueText}
 }
 
-// hasOwnForm reports whether a setting that begins with this keyword may be set without TO or an equals sign.
-func hasOwnForm(keyword string) bool {
+// hasSpecialSyntax reports whether a setting that begins with this keyword may be set without TO or an equals
+// sign.
+func hasSpecialSyntax(keyword string) bool {
 	return keyword == "time" || keyword == "role" || keyword == "names" || keyword == "session"
 }
 
-// isDefaultValue reports whether a setting's value means that of a connection on which nobody set it.
+// isDefaultValue reports whether a value stands for the connection's default, that is, the value without any
+// SET.
 func isDefaultValue(name string, value *token) bool {
 	if value.literal {
 		return false
@@ -100,10 +104,11 @@
 		name == "timezone" && value.folded == "local"
 }
 
-// parseCharacteristics reads SET SESSION CHARACTERISTICS AS TRANSACTION, which sets the defaults of later transactions.
-func parseCharacteristics(t []token) Statement {
-	if len(t) == 7 && t[5].folded == "read" {
-		switch t[6].folded {
+// parseCharacteristics parses SET SESSION CHARACTERISTICS AS TRANSACTION, which sets the defaults of later
+// transactions.
+func parseCharacteristics(tokens []token) Statement {
+	if len(tokens) == 7 && tokens[5].folded == "read" {
+		switch tokens[6].folded {
 		case "only":
 			return Statement{Kind: Set, Name: "default_transaction_read_only", Render: "SET default_transaction_read_only TO on"}
 		case "write":
--- a/internal/session/pipeline.go
+++ b/internal/session/pipeline.go
@@ -1,9 +1,9 @@
 package session
 
-// The kinds of what a client asked for, in the order in which a server answers.
+// replyKind is the kind of request that an expected reply answers.
 type replyKind uint8
 
-// The kinds of what a server is asked for, in the order in which it answers.
+// The kinds of requests, named after the frontend messages of the PostgreSQL protocol.
 const (
 	replyParse replyKind = iota
 	replyBind
@@ -13,120 +13,166 @@
 	replySync
 	replyQuery
 	replyFunction
-	replySettings // of the pooler's: what brings the connection to the session's settings
+	// replySettings is the pooler's own query that applies the session's settings to the connection.
+	replySettings
 )
 
-// expectedReply is one message whose answer is due.
+// expectedReply is one request whose answer is outstanding. A server answers in the order of the requests.
 type expectedReply struct {
-	kind          replyKind
-	local         bool      // the server was not asked: the answer is ours
-	hidden        bool      // the client did not ask: the answer is not passed on
-	changesNames  bool      // Names.Ask was told of it
-	prepared      *Prepared // Parse: what is being prepared; Bind, Execute: what runs
-	statements    []Statement
-	nextStatement int         // the first of run that is not done
-	replacement   *ErrorReply // the server was sent something that fails in its place
-	closedKey     Key         // Close of ours: the server's statement
+	kind replyKind
+	// local is set if the request was not sent to the server: the pooler answers it.
+	local bool
+	// hidden is set if the pooler sent the request itself: the answer is not passed on to the client.
+	hidden bool
+	// changesNames is set if the request was recorded with StatementNames.Request.
+	changesNames bool
+	// prepared is, for Parse, the statement being prepared; for Bind, Describe and Execute, the statement
+	// used.
+	prepared   *Prepared
+	statements []Statement
+	// nextStatement is the index in statements of the first one that has not completed.
+	nextStatement int
+	// replacement is set if the server was sent something that fails in place of the request. It replaces the
+	// server's error.
+	replacement *ErrorReply
+	// closedKey is, for a hidden Close, the statement that it closes on the server.
+	closedKey Key
 }
 
-// ErrorReply is an error of ours. Where a connection is linked, the server is sent something that fails at that point, so
-// that its transaction has failed too, and its error is replaced by this one.
+// ErrorReply is an error that the pooler itself returns to the client. If the session is linked to a server
+// connection, the server is sent something that fails at that point, so that its transaction fails too, and
+// the server's error is replaced by this one.
 type ErrorReply struct{ SQLState, Text string }
 
-// What is sent to make a server fail: a query that is no SQL, and the name of a statement that nobody prepares.
+// What is sent to cause an error on the server: a query that is not valid SQL, and the name of a statement
+// that is never prepared.
 const (
 	FailingQuery     = "ashstand refuses"
 	FailingStatement = "as_refused"
 )
 
-// Injection is a message of ours that goes before the client's.
+// Injection is a Parse or Close message that the pooler sends before the client's message.
 type Injection struct {
-	Close   Key // of the server's statement; where Parse is nil
-	Parse   *Prepared
-	Unnamed bool // Parse: as the unnamed statement
+	// Close is the statement to close on the server; it is used if Parse is nil.
+	Close Key
+	// Parse is the statement to prepare.
+	Parse *Prepared
+	// Unnamed is set if Parse prepares the unnamed statement.
+	Unnamed bool
 }
 
-// ClientAction says what becomes of a client's message.
+// ClientAction says what to do with a message of the client.
 type ClientAction struct {
+	// Before lists the messages to send before it.
 	Before []Injection
-	Drop   bool   // it is answered here, or skipped
-	Rename string // the name that the statement has on the server; "": as the client worded it
-	Text   string // Query: another text; "": as the client worded it
+	// Drop is set if the message is not sent to the server: the pooler answers it, or it is skipped after an
+	// error.
+	Drop bool
+	// Rename is the statement's name on the server; if empty, the client's name is kept.
+	Rename string
+	// Text replaces the text of a Query; if empty, the client's text is kept.
+	Text string
 }
 
-// ServerAction says what becomes of a server's message.
+// ServerAction says what to do with a message of the server.
 type ServerAction struct {
-	Drop       bool // it answers something that the client did not ask
-	Ready      bool // a ReadyForQuery of the client's
-	Unexpected bool // nothing that is due is answered so: the two sides are out of step
-	// Injected says that an answer to something of ours is complete; Failed with it, that it was an error.
+	// Drop is set if the message answers a request of the pooler and is not passed on to the client.
+	Drop bool
+	// Ready is set for a ReadyForQuery that is passed on to the client.
+	Ready bool
+	// Unexpected is set if the message answers no outstanding request: the pipeline and the server are out of
+	// sync.
+	Unexpected bool
+	// Injected is set when the answer to the pooler's settings query is complete. Failed is set for an error in
+	// that answer, and again with Injected.
 	Injected, Failed bool
-	Replacement      *ErrorReply // an ErrorResponse is to be replaced by this
+	// Replacement is the error that replaces the server's ErrorResponse; nil: the message is passed on.
+	Replacement *ErrorReply
 }
 
-// Pipeline is one session between its client and its server connection, message by message. It decides what goes to
-// the server, under which names, and what of the server's answers is the client's.
+// Pipeline follows the messages of one session between its client and its server connection. It decides which
+// messages are sent to the server, under which statement names, and which of the server's answers are passed
+// on to the client.
 type Pipeline struct {
 	Tracker
 	StatementNames
 
-	server          *ServerStatements // what is prepared on the connection linked; nil: none is
-	expected        []expectedReply
-	head            int
-	portals         map[string]*Prepared
-	skipping        bool // an error came: what the client sends up to Sync is not run
-	copyIn          bool
-	status          byte // of the last ReadyForQuery passed
-	blockLost       bool // the client is in a block whose connection is lost: it has failed, and only its end can follow
+	// server is what is prepared on the linked server connection; nil: the session is not linked.
+	server *ServerStatements
+	// expected holds the outstanding replies, from index head on.
+	expected []expectedReply
+	head     int
+	// portals maps each portal to the statement that is bound to it.
+	portals map[string]*Prepared
+	// skipping is set after an error in a pipeline: what the client sends up to Sync is not run.
+	skipping bool
+	// copyIn is set while the server waits for the client's COPY data.
+	copyIn bool
+	// status is the transaction status of the last ReadyForQuery that was passed on to the client.
+	status byte
+	// blockLost is set while the client is in a block whose connection was lost. The block has failed, and
+	// the client can only end it.
+	blockLost bool
+	// staleStatements are to be closed on the server before they are prepared again.
 	staleStatements map[Key]bool
-	readOnly        bool
-	implicitWork    bool        // statements ran outside a block whose implicit transaction no ReadyForQuery has ended yet
-	commitSeen      bool        // and a COMMIT went through
-	wrote           bool        // a statement that may write ran since Wrote was asked
-	stickyCause     StickyCause // why the session can't leave its connection; "": it can
+	// readOnly is set if the current transaction was routed as read-only.
+	readOnly bool
+	// inImplicitTransaction is set if statements ran outside a block and no ReadyForQuery has ended their
+	// implicit transaction yet.
+	inImplicitTransaction bool
+	// commitSeen is set if a COMMIT succeeded since the last ReadyForQuery.
+	commitSeen bool
+	// wrote is set if a statement that may write has run since the last call of TakeWrote.
+	wrote bool
+	// stickyCause is why the session cannot move to another connection; empty: it can.
+	stickyCause StickyCause
 }
 
-// NewPipeline returns the pipeline of a session that connected with these settings.
+// NewPipeline returns the pipeline of a session that connected with the settings startup.
 func NewPipeline(startup *Settings, c *Catalogue) *Pipeline {
 	return &Pipeline{Tracker: NewTracker(startup), StatementNames: NewStatementNames(c), status: 'I'}
 }
 
-// Link says that the session has a server connection from now on, for a transaction that is routed as read-only or not.
+// Link records that the session now has a server connection, on which s is prepared. readOnly is whether its
+// transaction was routed as read-only.
 func (p *Pipeline) Link(s *ServerStatements, readOnly bool) { p.server, p.readOnly = s, readOnly }
 
-// AssumePrepared makes the pipeline believe that whatever the session prepared is prepared on every connection. It is there so
-// that what checks statements can be seen to fail.
+// AssumePrepared makes the pipeline assume that all statements of the session are prepared on the linked
+// connection. It serves to show that the check of prepared statements can fail.
 func (p *Pipeline) AssumePrepared() {
 	for _, s := range p.established {
 		p.server.Add(s.Key, nil)
 	}
 }
 
-// Unlink says that it has none.
+// Unlink records that the session no longer has a server connection.
 func (p *Pipeline) Unlink() { p.server = nil }
 
-// Status is the transaction status that the client was told last.
+// Status returns the transaction status of the last ReadyForQuery that the client got.
 func (p *Pipeline) Status() byte { return p.status }
 
-// Idle reports whether nothing is due, so that the connection may serve another session if the status is 'I'.
+// Idle reports whether no reply is outstanding and no transaction is open, so that the connection may serve
+// another session.
 func (p *Pipeline) Idle() bool {
 	return p.head == len(p.expected) && !p.skipping && p.status == 'I' && !p.copyIn
 }
 
-// TakeWrote reports whether a statement that may write ran since it was asked last.
+// TakeWrote reports whether a statement that may write has run since the last call, and resets this.
 func (p *Pipeline) TakeWrote() bool {
-	w := p.wrote
+	wrote := p.wrote
 	p.wrote = false
-	return w
+	return wrote
 }
 
-// StickyCause is why the session can't leave its connection; "": it can.
+// StickyCause returns why the session cannot move to another connection; empty if it can.
 func (p *Pipeline) StickyCause() StickyCause { return p.stickyCause }
 
-// NeedsRestore reports whether the connection has to be brought to the session's settings again: RESET gave it its own.
+// NeedsRestore reports whether the session's settings have to be applied to the connection again, because
+// RESET set some of them to the connection's defaults.
 func (p *Pipeline) NeedsRestore() bool { return len(p.resetNames) > 0 && p.status != 'E' && !p.failed }
 
-// DiscardAll takes a DISCARD ALL that is answered here, where the session has no connection.
+// DiscardAll records a DISCARD ALL that the pooler answers itself, because the session has no server
+// connection.
 func (p *Pipeline) DiscardAll() {
 	p.Deallocate("", true)
 	p.Completed(&Statement{Kind: DiscardAll}, "")
@@ -134,25 +180,26 @@
 	p.Restored()
 }
 
-// Expected is how many answers are.
+// Expected returns the number of outstanding replies.
 func (p *Pipeline) Expected() int { return len(p.expected) - p.head }
 
 // CopyIn reports whether the server waits for the client's COPY data.
 func (p *Pipeline) CopyIn() bool { return p.copyIn }
 
-// BlockLost reports whether the client is in a block whose connection was lost: only its end can follow.
+// BlockLost reports whether the client is in a block whose connection was lost. The client can only end it.
 func (p *Pipeline) BlockLost() bool { return p.blockLost }
 
-// EndLostBlock takes a COMMIT or ROLLBACK in a block whose connection is lost: the client is out of it.
+// EndLostBlock records a COMMIT or ROLLBACK that ends a block whose connection was lost.
 func (p *Pipeline) EndLostBlock() { p.blockLost, p.status = false, 'I' }
 
-// SkipUntilSync says that an error was given here to a message of a pipeline: what follows up to Sync is not run.
+// SkipUntilSync records that the pooler answered a message of a pipeline with an error: what follows up to
+// Sync is not run.
 func (p *Pipeline) SkipUntilSync() { p.skipping = true }
 
-// Skipping reports whether what comes up to Sync is passed over.
+// Skipping reports whether the client's messages up to Sync are skipped.
 func (p *Pipeline) Skipping() bool { return p.skipping }
 
-// SyncLocally takes a Sync that is answered here.
+// SyncLocally records a Sync that the pooler answers itself.
 func (p *Pipeline) SyncLocally() { p.skipping = false }
 
 func (p *Pipeline) push(e expectedReply) {
@@ -166,7 +213,8 @@
 	p.expected[p.head] = expectedReply{}
 	if p.head++; p.head == len(p.expected) {
 		p.expected, p.head = p.expected[:0], 0
-		if cap(p.expected) > 256 { // one long pipeline is no reason to keep its room
+		// Memory that one long pipeline needed is not retained.
+		if cap(p.expected) > 256 {
 			p.expected = nil
 		}
 	}
@@ -179,10 +227,10 @@
 	return &p.expected[p.head]
 }
 
-// needsStatement reports whether the pipeline under way needs a statement on the server.
-func (p *Pipeline) needsStatement(k Key) bool {
+// needsStatement reports whether an outstanding request uses a statement on the server.
+func (p *Pipeline) needsStatement(key Key) bool {
 	for i := p.head; i < len(p.expected); i++ {
-		if p.expected[i].prepared != nil && p.expected[i].prepared.Key == k {
+		if p.expected[i].prepared != nil && p.expected[i].prepared.Key == key {
 			return true
 		}
 	}
--- a/internal/session/pipeline_client.go
+++ b/internal/session/pipeline_client.go
@@ -1,91 +1,94 @@
 package session
 
-// Parse takes a Parse whose statement the caller took from the catalogue.
-func (p *Pipeline) Parse(name string, s *Prepared) (out ClientAction) {
+// Parse handles a Parse message. The caller has acquired the statement from the catalogue; Parse takes over
+// that reference.
+func (p *Pipeline) Parse(name string, prepared *Prepared) (out ClientAction) {
 	if p.skipping {
-		p.catalogue.Release(s)
+		p.catalogue.Release(prepared)
 		return ClientAction{Drop: true}
 	}
-	p.Request(name, s)
-	e := expectedReply{kind: replyParse, changesNames: true, prepared: s}
+	p.Request(name, prepared)
+	e := expectedReply{kind: replyParse, changesNames: true, prepared: prepared}
 	if name == "" {
-		p.server.Unnamed, p.server.HasUnnamed = s.Key, true
+		p.server.Unnamed, p.server.HasUnnamed = prepared.Key, true
 		p.push(e)
 		return ClientAction{}
 	}
-	if p.server.Has(s.Key) {
+	if p.server.Has(prepared.Key) {
 		e.local = true
 		p.push(e)
 		return ClientAction{Drop: true}
 	}
-	out.Before = p.addStatement(s.Key, nil)
-	out.Rename = s.Name()
+	out.Before = p.addStatement(prepared.Key, nil)
+	out.Rename = prepared.Name()
 	p.push(e)
 	return out
 }
 
-// addStatement notes that a statement is prepared on the server, and closes those that have to go for it.
-func (p *Pipeline) addStatement(k Key, out []Injection) []Injection {
-	for _, old := range p.server.Add(k, p.needsStatement) {
+// addStatement records that a statement is prepared on the server. It appends a Close to out for each
+// statement that is evicted for it, and for the statement itself if its earlier preparation is stale.
+func (p *Pipeline) addStatement(key Key, out []Injection) []Injection {
+	for _, old := range p.server.Add(key, p.needsStatement) {
 		out = append(out, Injection{Close: old})
 		p.push(expectedReply{kind: replyClose, hidden: true, closedKey: old})
 	}
-	if p.staleStatements[k] {
-		delete(p.staleStatements, k)
-		out = append(out, Injection{Close: k})
-		p.push(expectedReply{kind: replyClose, hidden: true, closedKey: k})
+	if p.staleStatements[key] {
+		delete(p.staleStatements, key)
+		out = append(out, Injection{Close: key})
+		p.push(expectedReply{kind: replyClose, hidden: true, closedKey: key})
 	}
 	return out
 }
 
-// ensurePrepared makes sure that the server has a statement under the name that it will be used by.
-func (p *Pipeline) ensurePrepared(name string, s *Prepared, out *ClientAction) {
+// ensurePrepared makes sure that a statement is prepared on the server under the name by which the message
+// uses it.
+func (p *Pipeline) ensurePrepared(name string, prepared *Prepared, out *ClientAction) {
 	if name == "" {
-		if !p.server.HasUnnamed || p.server.Unnamed != s.Key {
-			p.server.Unnamed, p.server.HasUnnamed = s.Key, true
-			out.Before = append(out.Before, Injection{Parse: s, Unnamed: true})
-			p.push(expectedReply{kind: replyParse, hidden: true, prepared: s})
+		if !p.server.HasUnnamed || p.server.Unnamed != prepared.Key {
+			p.server.Unnamed, p.server.HasUnnamed = prepared.Key, true
+			out.Before = append(out.Before, Injection{Parse: prepared, Unnamed: true})
+			p.push(expectedReply{kind: replyParse, hidden: true, prepared: prepared})
 		}
 		return
 	}
-	out.Rename = s.Name()
-	if !p.server.Has(s.Key) {
-		out.Before = append(p.addStatement(s.Key, out.Before), Injection{Parse: s})
-		p.push(expectedReply{kind: replyParse, hidden: true, prepared: s})
+	out.Rename = prepared.Name()
+	if !p.server.Has(prepared.Key) {
+		out.Before = append(p.addStatement(prepared.Key, out.Before), Injection{Parse: prepared})
+		p.push(expectedReply{kind: replyParse, hidden: true, prepared: prepared})
 	}
 }
 
-// Bind takes a Bind of a statement to a portal.
+// Bind handles a Bind of a statement to a portal.
 func (p *Pipeline) Bind(portal, name string) (out ClientAction) {
 	if p.skipping {
 		return ClientAction{Drop: true}
 	}
-	s := p.Find(name)
-	if s != nil {
-		p.ensurePrepared(name, s, &out)
+	prepared := p.Find(name)
+	if prepared != nil {
+		p.ensurePrepared(name, prepared, &out)
 		if p.portals == nil {
 			p.portals = map[string]*Prepared{}
 		}
-		p.portals[portal] = s
+		p.portals[portal] = prepared
 	}
-	p.push(expectedReply{kind: replyBind, prepared: s})
+	p.push(expectedReply{kind: replyBind, prepared: prepared})
 	return out
 }
 
-// DescribeStatement takes a Describe of a statement.
+// DescribeStatement handles a Describe of a statement.
 func (p *Pipeline) DescribeStatement(name string) (out ClientAction) {
 	if p.skipping {
 		return ClientAction{Drop: true}
 	}
-	s := p.Find(name)
-	if s != nil {
-		p.ensurePrepared(name, s, &out)
+	prepared := p.Find(name)
+	if prepared != nil {
+		p.ensurePrepared(name, prepared, &out)
 	}
-	p.push(expectedReply{kind: replyDescribe, prepared: s})
+	p.push(expectedReply{kind: replyDescribe, prepared: prepared})
 	return out
 }
 
-// DescribePortal takes a Describe of a portal.
+// DescribePortal handles a Describe of a portal.
 func (p *Pipeline) DescribePortal(string) ClientAction {
 	if p.skipping {
 		return ClientAction{Drop: true}
@@ -94,20 +97,21 @@
 	return ClientAction{}
 }
 
-// Execute takes an Execute of a portal.
+// Execute handles an Execute of a portal.
 func (p *Pipeline) Execute(portal string) ClientAction {
 	if p.skipping {
 		return ClientAction{Drop: true}
 	}
 	e := expectedReply{kind: replyExecute}
-	if s := p.portals[portal]; s != nil {
-		e.prepared, e.statements = s, s.Query.Statements
+	if prepared := p.portals[portal]; prepared != nil {
+		e.prepared, e.statements = prepared, prepared.Query.Statements
 	}
 	p.push(e)
 	return ClientAction{}
 }
 
-// CloseStatement takes a Close of a statement: the server keeps it for others.
+// CloseStatement handles a Close of a statement. The statement stays prepared on the server for other
+// sessions.
 func (p *Pipeline) CloseStatement(name string) ClientAction {
 	if p.skipping {
 		return ClientAction{Drop: true}
@@ -117,7 +121,7 @@
 	return ClientAction{Drop: true}
 }
 
-// ClosePortal takes a Close of a portal.
+// ClosePortal handles a Close of a portal.
 func (p *Pipeline) ClosePortal(string) ClientAction {
 	if p.skipping {
 		return ClientAction{Drop: true}
@@ -126,7 +130,7 @@
 	return ClientAction{}
 }
 
-// Sync takes a Sync. While the server takes COPY data it ignores it.
+// Sync handles a Sync. The server ignores a Sync while it receives COPY data.
 func (p *Pipeline) Sync() ClientAction {
 	if p.copyIn {
 		return ClientAction{Drop: true}
@@ -136,46 +140,48 @@
 	return ClientAction{}
 }
 
-// Query takes a simple query.
-func (p *Pipeline) Query(text string, q Query) (out ClientAction) {
+// Query handles a simple query. In EXECUTE and DEALLOCATE it replaces the session's statement names by the
+// server's.
+func (p *Pipeline) Query(text string, query Query) (out ClientAction) {
 	if p.skipping {
 		return ClientAction{Drop: true}
 	}
 	p.server.HasUnnamed = false
-	for i := len(q.Statements) - 1; i >= 0; i-- { // from the end, so that places stay true
-		st := &q.Statements[i]
-		if s := p.Find(st.Name); (st.Kind == Execute || st.Kind == Deallocate) && s != nil {
+	for i := len(query.Statements) - 1; i >= 0; i-- { // from the end, so that earlier offsets stay valid
+		statement := &query.Statements[i]
+		if prepared := p.Find(statement.Name); (statement.Kind == Execute || statement.Kind == Deallocate) && prepared != nil {
 			if out.Text == "" {
 				out.Text = text
 			}
-			out.Text = out.Text[:st.from] + s.Name() + out.Text[st.to:]
-			if !p.server.Has(s.Key) {
-				out.Before = append(p.addStatement(s.Key, out.Before), Injection{Parse: s})
-				p.push(expectedReply{kind: replyParse, hidden: true, prepared: s})
+			out.Text = out.Text[:statement.from] + prepared.Name() + out.Text[statement.to:]
+			if !p.server.Has(prepared.Key) {
+				out.Before = append(p.addStatement(prepared.Key, out.Before), Injection{Parse: prepared})
+				p.push(expectedReply{kind: replyParse, hidden: true, prepared: prepared})
 			}
 		}
 	}
-	if len(out.Before) > 0 { // an error in what is injected must not be followed by the query
+	if len(out.Before) > 0 { // an error in an injected message must not be followed by the query
 		p.push(expectedReply{kind: replySync, hidden: true})
 	}
-	p.push(expectedReply{kind: replyQuery, statements: q.Statements})
+	p.push(expectedReply{kind: replyQuery, statements: query.Statements})
 	return out
 }
 
-// Reject says that FailingQuery, or a Bind of FailingStatement, was sent in place of the client's message.
-func (p *Pipeline) Reject(query bool, r ErrorReply) (drop bool) {
+// Reject records that FailingQuery, or a Bind of FailingStatement, was sent in place of the client's message,
+// whose error is reply. drop is set if the message is skipped anyway and nothing needs to be sent.
+func (p *Pipeline) Reject(isQuery bool, reply ErrorReply) (drop bool) {
 	if p.skipping {
 		return true
 	}
-	e := expectedReply{kind: replyBind, replacement: &r}
-	if query {
+	e := expectedReply{kind: replyBind, replacement: &reply}
+	if isQuery {
 		e.kind = replyQuery
 	}
 	p.push(e)
 	return false
 }
 
-// Function takes a function call.
+// Function handles a FunctionCall.
 func (p *Pipeline) Function() ClientAction {
 	if p.skipping {
 		return ClientAction{Drop: true}
@@ -184,5 +190,5 @@
 	return ClientAction{}
 }
 
-// SettingsSent says that the query of Changes was sent.
+// SettingsSent records that the query of RestoreQuery was sent.
 func (p *Pipeline) SettingsSent() { p.push(expectedReply{kind: replySettings, hidden: true}) }
--- a/internal/session/pipeline_loss.go
+++ b/internal/session/pipeline_loss.go
@@ -1,23 +1,27 @@
 package session
 
-// Loss is what a lost server connection means to its session.
+// Loss is the effect of a lost server connection on its session.
 type Loss struct {
-	SQLState string // SQLSTATE
-	Text     string
-	Cycles   int // ReadyForQuery that are owed, each behind an error
-	// Silent: nothing was under way and no block open; the client need not know.
+	// SQLState is the SQLSTATE of the error for the client.
+	SQLState string
+	// Text is the message of that error.
+	Text string
+	// Cycles is the number of ReadyForQuery messages that the client waits for; each follows an error.
+	Cycles int
+	// Silent is set if no request was in progress and no block was open, so that the client need not be told.
 	Silent bool
 }
 
-// The codes of a loss.
+// The SQLSTATE values that a client gets after a loss.
 const (
-	SQLStateSafeToRetry   = "40001" // rolled back or never run: safe to run again
-	SQLStateInDoubt       = "08007" // it may have been committed
+	SQLStateSafeToRetry   = "40001" // the transaction was rolled back or never ran
+	SQLStateInDoubt       = "08007" // the transaction may have been committed
 	SQLStateInFailedBlock = "25P02"
 )
 
-// Lose takes the loss of the server connection: what was not committed is rolled back, and where a commit may have
-// happened nobody can tell. sent says whether anything that is due reached the connection.
+// Lose handles the loss of the server connection. Work that was not committed is rolled back; if a commit was
+// in progress, its outcome is unknown. sent is whether any of the unanswered requests was written to the
+// connection.
 func (p *Pipeline) Lose(sent bool) Loss {
 	inDoubt, inBlock := p.mayHaveCommitted()
 	loss := Loss{
@@ -32,7 +36,7 @@
 	loss.Cycles, open = p.expectedCycles()
 	loss.Silent = loss.Cycles == 0 && !open && !inBlock && !p.skipping
 	p.DiscardLast(len(p.requested))
-	p.implicitWork, p.commitSeen, p.wrote = false, false, false
+	p.inImplicitTransaction, p.commitSeen, p.wrote = false, false, false
 	p.expected, p.head, p.portals, p.server = nil, 0, nil, nil
 	p.copyIn, p.staleStatements, p.stickyCause = false, nil, ""
 	p.skipping = open || p.skipping
@@ -43,11 +47,12 @@
 	return loss
 }
 
-// mayHaveCommitted reports whether a transaction may have been committed of which no answer came, and whether the client is in a
-// block after all that it sent.
+// mayHaveCommitted returns in inDoubt whether a transaction may have been committed without the client having
+// its answer, and in inBlock whether the client is in a block after everything that it has sent.
 func (p *Pipeline) mayHaveCommitted() (inDoubt, inBlock bool) {
 	inDoubt, inBlock = p.commitSeen && !p.readOnly, p.inBlock
-	if p.implicitWork && !p.readOnly { // it ran, and the end of its implicit transaction was asked for
+	// Statements ran, and an outstanding request ends their implicit transaction.
+	if p.inImplicitTransaction && !p.readOnly {
 		for i := p.head; i < len(p.expected); i++ {
 			inDoubt = inDoubt || !p.expected[i].hidden && p.expected[i].endsCycle()
 		}
@@ -78,14 +83,14 @@
 	return inDoubt, inBlock
 }
 
-// endsImplicitTransaction reports whether an implicit transaction ends with an expected reply, or behind it, unless it is in
-// a block.
-func (p *Pipeline) endsImplicitTransaction(at int) bool {
-	switch p.expected[at].kind {
+// endsImplicitTransaction reports whether the implicit transaction of an expected reply, if it is not in a
+// block, ends with that reply or with a later one.
+func (p *Pipeline) endsImplicitTransaction(index int) bool {
+	switch p.expected[index].kind {
 	case replyQuery, replyFunction:
 		return true
 	case replyExecute:
-		for i := at + 1; i < len(p.expected); i++ {
+		for i := index + 1; i < len(p.expected); i++ {
 			if p.expected[i].kind == replySync {
 				return true
 			}
@@ -94,12 +99,13 @@
 	return false
 }
 
-// endsCycle reports whether a reply ends with a ReadyForQuery.
+// endsCycle reports whether the server ends the reply with a ReadyForQuery.
 func (e *expectedReply) endsCycle() bool {
 	return e.kind == replySync || e.kind == replyQuery || e.kind == replyFunction
 }
 
-// expectedCycles counts the ReadyForQuery that the client waits for. open: messages came whose Sync did not.
+// expectedCycles counts the ReadyForQuery messages that the client waits for. open is set if the client has
+// sent messages of a pipeline whose Sync has not come.
 func (p *Pipeline) expectedCycles() (cycles int, open bool) {
 	for i := p.head; i < len(p.expected); i++ {
 		switch e := &p.expected[i]; {
--- a/internal/session/pipeline_server.go
+++ b/internal/session/pipeline_server.go
@@ -1,6 +1,6 @@
 package session
 
-// Kinds of the messages of a server, by their first byte.
+// The type bytes of the server's messages.
 const (
 	serverParseComplete        byte = '1'
 	serverBindComplete         byte = '2'
@@ -25,13 +25,14 @@
 	serverParameterDescription byte = 't'
 )
 
-// Errors of a server that say that a prepared statement has to be prepared anew.
+// SQLSTATE values with which the server reports that a prepared statement has to be prepared again.
 const (
 	sqlStateResultChanged    = "0A000" // cached plan must not change result type
 	sqlStateStatementUnknown = "26000"
 )
 
-// NextLocalReply gives the next answer that is ours to give before any more of the server's; 0: none is.
+// NextLocalReply returns the type byte of the next reply that the pooler has to send before any further reply
+// of the server; 0 if there is none.
 func (p *Pipeline) NextLocalReply() byte {
 	e := p.front()
 	if e == nil || !e.local {
@@ -45,7 +46,7 @@
 	return kind
 }
 
-// finish ends an entry that succeeded.
+// finish removes an expected reply whose request succeeded.
 func (p *Pipeline) finish(e *expectedReply) {
 	if e.changesNames {
 		p.Confirm()
@@ -53,14 +54,14 @@
 	p.pop()
 }
 
-// HandleServerMessage takes a message of the server by its kind, with the tag of a CommandComplete, the SQLSTATE of an
-// ErrorResponse or the status of a ReadyForQuery.
+// HandleServerMessage handles a message of the server. kind is its type byte; detail is the tag of a
+// CommandComplete, the SQLSTATE of an ErrorResponse or the status of a ReadyForQuery.
 func (p *Pipeline) HandleServerMessage(kind byte, detail string) (out ServerAction) {
 	switch kind {
-	case serverNotice, serverNotification, serverParameterStatus: // at any time
+	case serverNotice, serverNotification, serverParameterStatus: // asynchronous: these may come at any time
 		return ServerAction{}
 	case serverError:
-		return p.fail(p.front(), detail)
+		return p.handleError(p.front(), detail)
 	}
 	e := p.front()
 	if e == nil {
@@ -69,7 +70,7 @@
 	out.Drop = e.hidden
 	switch kind {
 	case serverReadyForQuery:
-		return p.ready(e, detail)
+		return p.handleReadyForQuery(e, detail)
 	case serverParseComplete:
 		out.Unexpected = e.kind != replyParse
 	case serverBindComplete:
@@ -85,7 +86,7 @@
 			return out
 		}
 	case serverFunctionCallResponse:
-		p.implicitWork = p.implicitWork || !p.inBlock
+		p.inImplicitTransaction = p.inImplicitTransaction || !p.inBlock
 		return out
 	case serverDataRow, serverCopyData, serverCopyDone, serverCopyBothResponse, serverCopyOutResponse:
 		return out
@@ -93,7 +94,7 @@
 		p.beginCopyIn(e)
 		return out
 	case serverCommandComplete, serverEmptyQuery, serverPortalSuspended:
-		p.commandEnded(e, kind, detail)
+		p.handleCommandEnd(e, kind, detail)
 		if e.kind == replyQuery || e.kind == replySettings {
 			return out
 		}
@@ -107,26 +108,27 @@
 	return out
 }
 
-// beginCopyIn takes the server's request for COPY data.
+// beginCopyIn handles the server's request for COPY data.
 func (p *Pipeline) beginCopyIn(e *expectedReply) {
 	p.copyIn = true
 	if e.kind != replyExecute {
 		return
 	}
-	// Syncs that were sent ahead of the data are not answered: the server reads them as part of it.
+	// Syncs that were sent before the data are not answered, because the server reads them as part of the
+	// COPY.
 	for p.head+1 < len(p.expected) && p.expected[p.head+1].kind == replySync {
 		p.expected = append(p.expected[:p.head+1], p.expected[p.head+2:]...)
 	}
 }
 
-// commandEnded takes the end of a statement: it completed, was empty, or its portal is suspended.
-func (p *Pipeline) commandEnded(e *expectedReply, kind byte, tag string) {
+// handleCommandEnd handles the end of a statement: it completed, was empty, or its portal was suspended.
+func (p *Pipeline) handleCommandEnd(e *expectedReply, kind byte, tag string) {
 	p.copyIn = false
 	switch {
 	case kind == serverCommandComplete && e.nextStatement < len(e.statements):
-		p.completed(&e.statements[e.nextStatement], tag)
+		p.handleCompletedStatement(&e.statements[e.nextStatement], tag)
 	case kind != serverEmptyQuery:
-		p.implicitWork, p.wrote = p.implicitWork || !p.inBlock, true
+		p.inImplicitTransaction, p.wrote = p.inImplicitTransaction || !p.inBlock, true
 	}
 	isWholeQuery := e.kind == replyQuery || e.kind == replySettings
 	if kind != serverPortalSuspended || isWholeQuery {
@@ -134,29 +136,30 @@
 	}
 }
 
-// completed takes a statement that the server ran.
-func (p *Pipeline) completed(s *Statement, tag string) {
-	block := p.inBlock
-	p.Completed(s, tag)
-	switch s.Kind {
+// handleCompletedStatement handles a statement that the server completed with this tag.
+func (p *Pipeline) handleCompletedStatement(statement *Statement, tag string) {
+	wasInBlock := p.inBlock
+	p.Completed(statement, tag)
+	switch statement.Kind {
 	case Other, Select, Execute, MakesSticky:
-		p.implicitWork = p.implicitWork || !block
-		p.wrote = p.wrote || s.Kind != Select
+		p.inImplicitTransaction = p.inImplicitTransaction || !wasInBlock
+		p.wrote = p.wrote || statement.Kind != Select
 	case Commit:
 		p.commitSeen = p.commitSeen || tag != "ROLLBACK"
 	}
-	switch s.Kind {
+	switch statement.Kind {
 	case MakesSticky:
 		if p.stickyCause == "" {
-			p.stickyCause = s.Cause
+			p.stickyCause = statement.Cause
 		}
 	case Deallocate:
-		if held := p.Find(s.Name); held != nil && p.server != nil { // it was run under the server's name
-			p.server.Remove(held.Key)
+		// The DEALLOCATE ran with the server's name of the statement.
+		if prepared := p.Find(statement.Name); prepared != nil && p.server != nil {
+			p.server.Remove(prepared.Key)
 		}
-		p.Deallocate(s.Name, false)
+		p.Deallocate(statement.Name, false)
 	case DeallocateAll, DiscardAll:
-		if s.Kind == DiscardAll || p.stickyCause == CausePrepare {
+		if statement.Kind == DiscardAll || p.stickyCause == CausePrepare {
 			p.stickyCause = ""
 		}
 		p.Deallocate("", true)
@@ -166,8 +169,8 @@
 	}
 }
 
-// ready takes a ReadyForQuery.
-func (p *Pipeline) ready(e *expectedReply, status string) ServerAction {
+// handleReadyForQuery handles a ReadyForQuery.
+func (p *Pipeline) handleReadyForQuery(e *expectedReply, status string) ServerAction {
 	if status == "" {
 		return ServerAction{Unexpected: true}
 	}
@@ -187,7 +190,7 @@
 		return ServerAction{Unexpected: true}
 	}
 	p.pop()
-	p.copyIn, p.implicitWork, p.commitSeen = false, false, false
+	p.copyIn, p.inImplicitTransaction, p.commitSeen = false, false, false
 	p.status = status[0]
 	p.Ready(p.status)
 	if p.status == 'I' {
@@ -196,8 +199,9 @@
 	return ServerAction{Ready: true}
 }
 
-// fail takes an ErrorResponse. In a pipeline it skips all up to Sync, and what was skipped was never prepared.
-func (p *Pipeline) fail(e *expectedReply, code string) ServerAction {
+// handleError handles an ErrorResponse. In a pipeline the server skips everything up to Sync, so that the
+// skipped statements were never prepared.
+func (p *Pipeline) handleError(e *expectedReply, code string) ServerAction {
 	if e == nil {
 		return ServerAction{}
 	}
@@ -210,22 +214,23 @@
 	case replyQuery, replyFunction, replySync:
 		return out
 	}
-	p.forgetStale(e, code)
-	// What was asked for behind the Sync, in pipelines to come, stays.
-	p.discardFirst(p.skipPipeline())
+	p.invalidateStale(e, code)
+	// Names that were requested after the Sync, in later pipelines, stay.
+	p.discardFirst(p.discardUntilSync())
 	if p.head == len(p.expected) {
 		p.skipping = true
 	}
-	if f := p.front(); f != nil && f.kind == replySync && f.hidden {
-		p.failed = false // of the pooler's, before a query that runs EXECUTE, which will fail by itself
+	if next := p.front(); next != nil && next.kind == replySync && next.hidden {
+		// The pooler sent this Sync before a query with an EXECUTE. That query fails by itself.
+		p.failed = false
 		return ServerAction{Drop: true}
 	}
 	return out
 }
 
-// forgetStale has a statement prepared anew whose result is not what it was when it was prepared, or that the server has no
-// more.
-func (p *Pipeline) forgetStale(e *expectedReply, code string) {
+// invalidateStale makes sure that a statement is prepared again if the type of its result has changed since
+// it was prepared, or if the server no longer has it.
+func (p *Pipeline) invalidateStale(e *expectedReply, code string) {
 	if code != sqlStateResultChanged && code != sqlStateStatementUnknown {
 		return
 	}
@@ -241,14 +246,15 @@
 	}
 }
 
-// skipPipeline takes out all that is expected up to Sync, and returns how many changes of names were among it.
-func (p *Pipeline) skipPipeline() (changes int) {
+// discardUntilSync removes the expected replies up to Sync, and returns how many of them were changes of
+// statement names.
+func (p *Pipeline) discardUntilSync() (changes int) {
 	for p.head < len(p.expected) && p.expected[p.head].kind != replySync {
 		skipped := &p.expected[p.head]
 		if skipped.changesNames {
 			changes++
 		}
-		if p.server != nil && skipped.kind == replyClose && skipped.hidden { // it was not closed
+		if p.server != nil && skipped.kind == replyClose && skipped.hidden { // the Close was skipped
 			p.server.Restore(skipped.closedKey)
 		}
 		if p.server != nil && skipped.kind == replyParse && !skipped.local {
@@ -262,9 +268,9 @@
 	return changes
 }
 
-// discardFirst takes back the first k that were asked for.
-func (p *Pipeline) discardFirst(k int) {
-	for i := 0; i < k && len(p.requested) > 0; i++ {
+// discardFirst discards the first count name changes that were requested.
+func (p *Pipeline) discardFirst(count int) {
+	for i := 0; i < count && len(p.requested) > 0; i++ {
 		p.catalogue.Release(p.requested[0].prepared)
 		p.requested = p.requested[1:]
 	}
--- a/internal/session/queue.go
+++ b/internal/session/queue.go
@@ -2,62 +2,69 @@
 
 import "container/list"
 
-// Sizes bound what is open to one host for one database and user.
+// Sizes limits the connections and waiting sessions for one host, database and user.
 type Sizes struct {
-	MaxConnections int // server connections
-	MaxWaiting     int // sessions that wait for one
+	// MaxConnections is the maximum number of server connections.
+	MaxConnections int
+	// MaxWaiting is the maximum number of sessions that wait for a server connection.
+	MaxWaiting int
 }
 
-// Waiter is a session that waits for a server connection. A session has one at the most, so who came first being
-// served first is fair between sessions.
+// Waiter is a session that waits for a server connection. A session has at most one Waiter, so that first
+// come, first served is fair between sessions.
 type Waiter struct {
-	Deadline float64 // clock milliseconds; then it is told to come again
-	Owner    any     // whose it is
-	element  *list.Element
-	queue    *Queue
+	// Deadline is the time, in clock milliseconds, at which the session is rejected and told to retry.
+	Deadline float64
+	// Owner identifies the session to the caller.
+	Owner   any
+	element *list.Element
+	queue   *Queue
 }
 
-// Queue is the sessions that wait for a connection to one host, database and user. Its zero value is ready.
+// Queue holds the sessions that wait for a connection to one host, database and user. Its zero value is ready
+// to use.
 type Queue struct{ waiters list.List }
 
-// Len is how many wait.
+// Len returns the number of waiting sessions.
 func (q *Queue) Len() int { return q.waiters.Len() }
 
-// Add puts a session at the end. false: most are waiting already.
-func (q *Queue) Add(w *Waiter, most int) bool {
-	if q.waiters.Len() >= most {
+// Add appends a session to the queue. It returns false if maxWaiting sessions are already waiting.
+func (q *Queue) Add(w *Waiter, maxWaiting int) bool {
+	if q.waiters.Len() >= maxWaiting {
 		return false
 	}
 	w.element, w.queue = q.waiters.PushBack(w), q
 	return true
 }
 
-// Next takes the session that has waited for longest and still has time; those that have none are given to late.
-func (q *Queue) Next(now float64, late func(*Waiter)) *Waiter {
+// Next removes and returns the session that has waited longest and whose deadline has not passed; nil if
+// there is none. Expired sessions before it are removed and passed to onExpired.
+func (q *Queue) Next(now float64, onExpired func(*Waiter)) *Waiter {
 	for e := q.waiters.Front(); e != nil; e = q.waiters.Front() {
 		w := e.Value.(*Waiter)
 		w.Dequeue()
 		if w.Deadline > now {
 			return w
 		}
-		late(w)
+		onExpired(w)
 	}
 	return nil
 }
 
-// Expire takes out all whose time is over, wherever they stand.
-func (q *Queue) Expire(now float64, late func(*Waiter)) {
+// Expire removes all sessions whose deadline has passed, at any place in the queue, and passes them to
+// onExpired.
+func (q *Queue) Expire(now float64, onExpired func(*Waiter)) {
 	for e := q.waiters.Front(); e != nil; {
 		w, next := e.Value.(*Waiter), e.Next()
 		if w.Deadline <= now {
 			w.Dequeue()
-			late(w)
+			onExpired(w)
 		}
 		e = next
 	}
 }
 
-// Dequeue takes a session out of its queue, if it is in one.
+// Dequeue removes the session from its queue, if it is in one.
 func (w *Waiter) Dequeue() {
 	if w.queue != nil {
 		w.queue.waiters.Remove(w.element)
@@ -65,14 +72,15 @@
 	}
 }
 
-// IsQueued reports whether it is in one.
+// IsQueued reports whether the session is in a queue.
 func (w *Waiter) IsQueued() bool { return w.queue != nil }
 
-// WaitTimeout is how long a session may wait: as long as its client says, but no longer than the limit, and 0 where the
-// answer could not reach it in time.
-func WaitTimeout(requested, limit, guard float64) float64 {
+// WaitTimeout returns how long a session may wait for a connection, in milliseconds. It is the time that the
+// client requested, less replyMargin, so that the reply still reaches the client in time; it is 0 if nothing
+// is left. If the client requested no time, or more than a limit above 0, it is the limit.
+func WaitTimeout(requested, limit, replyMargin float64) float64 {
 	if requested <= 0 || limit > 0 && requested > limit {
 		return limit
 	}
-	return max(0, requested-guard)
+	return max(0, requested-replyMargin)
 }
--- a/internal/session/retryable.go
+++ b/internal/session/retryable.go
@@ -1,7 +1,8 @@
 package session
 
-// IsRetryable says whether a text is one statement that is undone as a whole by its error and leaves nothing on its
-// connection, so that it can be run again elsewhere. A procedure or a DO block may have committed a part of its own.
+// IsRetryable reports whether a text is a single statement that an error undoes as a whole and that leaves no
+// state on its connection, so that it can be run again on another one. A procedure or a DO block is not
+// retryable, because it may have committed part of its work.
 func IsRetryable(text string) bool {
 	s := scanner{text: text}
 	tokens, more, ok := s.nextStatement()
--- a/internal/session/route.go
+++ b/internal/session/route.go
@@ -5,30 +5,40 @@
 	"strings"
 )
 
-// Route is how a transaction is to be routed: once, when its first statement comes.
+// Route says how to route a transaction. It is determined once, from the transaction's first query.
 type Route struct {
-	Class       string
-	Group       uint64
-	HasGroup    bool    // the comment names it
-	WaitMillis  float64 // milliseconds that the client waits for a server connection; 0: not said
-	MinPosition float64 // Unix milliseconds that a read must see; 0: not said
+	// Class is the request class.
+	Class string
+	Group uint64
+	// HasGroup is set if the comment names the group.
+	HasGroup bool
+	// WaitMillis is how long the client waits for a server connection, in milliseconds; 0: not specified.
+	WaitMillis float64
+	// MinPosition is the minimum position, in Unix milliseconds, that a read must see; 0: not specified.
+	MinPosition float64
 	SessionKey  string
-	ReadOnly    bool // the transaction was begun so: a server refuses writes in it
+	// ReadOnly is set if the transaction is taken to be read-only: it was begun as read-only, so that a
+	// server refuses writes in it, or it consists of SELECTs and SelectsAsRead is set.
+	ReadOnly bool
 }
 
-// Defaults are what the operator's file says of transactions that do not say it themselves.
+// Defaults are the operator's routing settings for transactions whose comment does not specify them.
 type Defaults struct {
-	ReadOnly      string // class of read-only transactions
-	ReadWrite     string // class of all others
-	SelectsAsRead bool   // a single SELECT outside a block counts as read-only
+	// ReadOnly is the class of read-only transactions.
+	ReadOnly string
+	// ReadWrite is the class of all other transactions.
+	ReadWrite string
+	// SelectsAsRead is set if a query outside a block that consists of SELECTs counts as read-only.
+	SelectsAsRead bool
 	Group         uint64
 }
 
-// Route routes a transaction by its comment where it has one, else by the defaults. defaultReadOnly is whether the
-// session has default_transaction_read_only on. A comment that can't be read is an error, not a guess.
+// Route determines the route of a transaction from the query's comment and, for what the comment does not
+// specify, from the defaults. defaultReadOnly is whether the session has default_transaction_read_only on. An
+// invalid value in the comment is a *CommentError; it is not replaced by a default.
 func (d *Defaults) Route(q *Query, defaultReadOnly bool) (r Route, err error) {
 	r.Group = d.Group
-	r.ReadOnly = d.readOnly(q, defaultReadOnly)
+	r.ReadOnly = d.isReadOnly(q, defaultReadOnly)
 	if r.Class = d.ReadWrite; r.ReadOnly {
 		r.Class = d.ReadOnly
 	}
@@ -38,7 +48,7 @@
 	for _, item := range strings.Split(q.Comment, ",") {
 		name, value, ok := strings.Cut(item, "=")
 		if !ok {
-			continue // a comment of people's
+			continue // an ordinary comment, not a routing option
 		}
 		value = strings.TrimSpace(value)
 		switch strings.TrimSpace(name) {
@@ -48,9 +58,9 @@
 			r.Group, err = strconv.ParseUint(value, 10, 64)
 			r.HasGroup = true
 		case "d":
-			r.WaitMillis, err = millis(value)
+			r.WaitMillis, err = parseMillis(value)
 		case "after":
-			r.MinPosition, err = millis(value)
+			r.MinPosition, err = parseMillis(value)
 		case "k":
 			r.SessionKey = value
 		}
@@ -61,15 +71,15 @@
 	return r, nil
 }
 
-// CommentError names what can't be read in a comment.
+// CommentError reports a routing option in a comment whose value is invalid.
 type CommentError struct{ Name, Value string }
 
-// Error names the item and its value.
+// Error returns a message that names the option and its value.
 func (e *CommentError) Error() string {
 	return "the comment's " + e.Name + " is " + strconv.Quote(e.Value) + ", which is no number that fits"
 }
 
-func millis(s string) (float64, error) {
+func parseMillis(s string) (float64, error) {
 	x, err := strconv.ParseFloat(s, 64)
 	if err != nil || !(x >= 0 && x < 1<<52) {
 		return 0, strconv.ErrRange
@@ -77,16 +87,16 @@
 	return x, nil
 }
 
-func (d *Defaults) readOnly(q *Query, byDefault bool) bool {
+func (d *Defaults) isReadOnly(q *Query, defaultReadOnly bool) bool {
 	if len(q.Statements) == 0 {
-		return byDefault
+		return defaultReadOnly
 	}
 	switch s := &q.Statements[0]; {
 	case s.Kind == Begin && s.ReadOnly:
 		return true
 	case s.Kind == Begin && s.Writable:
 		return false
-	case byDefault:
+	case defaultReadOnly:
 		return true
 	case d.SelectsAsRead && s.Kind == Select:
 		for i := range q.Statements {
--- a/internal/session/scan_test.go
+++ b/internal/session/scan_test.go
@@ -81,7 +81,8 @@
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		for _, s := range Scan(text).Statements {
-			// What is replayed elsewhere must be one statement again, of the same meaning.
+			// The text that sets a value on another connection must be a single statement with the same
+			// effect.
 			if s.Kind == Set {
 				again := Scan(s.Render).Statements
 				require.Len(t, again, 1, "%q", s.Render)
@@ -94,22 +95,22 @@
 
 func TestRoute(t *testing.T) {
 	d := Defaults{ReadOnly: "browse", ReadWrite: "donate"}
-	decide := func(text string, byDefault bool) Route {
+	route := func(text string, defaultReadOnly bool) Route {
 		q := Scan(text)
-		r, err := d.Route(&q, byDefault)
+		r, err := d.Route(&q, defaultReadOnly)
 		require.NoError(t, err)
 		return r
 	}
-	require.Equal(t, Route{Class: "browse", ReadOnly: true}, decide("BEGIN READ ONLY", false))
-	require.Equal(t, Route{Class: "donate"}, decide("BEGIN", false))
-	require.Equal(t, Route{Class: "donate"}, decide("BEGIN READ WRITE", true))
-	require.Equal(t, Route{Class: "browse", ReadOnly: true}, decide("SELECT 1", true))
-	require.Equal(t, Route{Class: "donate"}, decide("SELECT 1", false))
+	require.Equal(t, Route{Class: "browse", ReadOnly: true}, route("BEGIN READ ONLY", false))
+	require.Equal(t, Route{Class: "donate"}, route("BEGIN", false))
+	require.Equal(t, Route{Class: "donate"}, route("BEGIN READ WRITE", true))
+	require.Equal(t, Route{Class: "browse", ReadOnly: true}, route("SELECT 1", true))
+	require.Equal(t, Route{Class: "donate"}, route("SELECT 1", false))
 	d.SelectsAsRead = true
-	require.Equal(t, Route{Class: "browse", ReadOnly: true}, decide("SELECT 1", false))
-	require.Equal(t, Route{Class: "donate"}, decide("SELECT 1; DELETE FROM a", false))
-	require.Equal(t, Route{Class: "report", Group: 3, HasGroup: true, WaitMillis: 250, MinPosition: 12.5}, decide("/* c=report,cluster=3, d=250,after=12.5 */ BEGIN", false))
-	require.Equal(t, Route{Class: "donate"}, decide("/* mind the gap = wide */ BEGIN", false))
+	require.Equal(t, Route{Class: "browse", ReadOnly: true}, route("SELECT 1", false))
+	require.Equal(t, Route{Class: "donate"}, route("SELECT 1; DELETE FROM a", false))
+	require.Equal(t, Route{Class: "report", Group: 3, HasGroup: true, WaitMillis: 250, MinPosition: 12.5}, route("/* c=report,cluster=3, d=250,after=12.5 */ BEGIN", false))
+	require.Equal(t, Route{Class: "donate"}, route("/* mind the gap = wide */ BEGIN", false))
 	for _, bad := range []string{"d=x", "after=-1", "cluster=1e9", "d=1e999"} {
 		q := Scan("/* " + bad + " */ BEGIN")
 		_, err := d.Route(&q, false)
--- a/internal/session/scanner.go
+++ b/internal/session/scanner.go
@@ -4,34 +4,40 @@
 
 // token is a word, a quoted identifier, a literal or a single character of a statement.
 type token struct {
-	text       string // as it stands
-	folded     string // folded to lower case; of a quoted identifier, what it names
+	// text is the token as written.
+	text string
+	// folded is the text in lower case; for a quoted identifier it is the name itself, and for a literal it
+	// is empty.
+	folded string
+	// from and to are the token's byte offsets in the query string.
 	from, to   int
 	literal    bool
 	identifier bool
 }
 
-// maxTokens bounds how far into a statement the scanner looks for what it knows. Data behind that is no concern of the
-// session; a statement that hides a call there is longer than any that people write.
+// maxTokens limits how many tokens of a statement are retained for its classification. What follows is taken
+// to be data, which does not affect the session: a statement with a relevant call beyond this point is longer
+// than any that people write.
 const maxTokens = 4096
 
-// scanner cuts a query string into statements, and those into tokens.
+// scanner splits a query string into statements, and those into tokens.
 type scanner struct {
 	text     string
 	position int
 }
 
+// readLeadingComment sets the query's comment if the query string begins with one.
 func (s *scanner) readLeadingComment(q *Query) {
-	t := strings.TrimLeft(s.text, " \t\r\n")
-	if body, ok := strings.CutPrefix(t, "/*"); ok {
+	trimmed := strings.TrimLeft(s.text, " \t\r\n")
+	if body, ok := strings.CutPrefix(trimmed, "/*"); ok {
 		if end := strings.Index(body, "*/"); end >= 0 {
 			q.Comment = body[:end]
 		}
 	}
 }
 
-// nextStatement returns the tokens up to the next semicolon. more: the text goes on behind it. ok is false where a comment or
-// a literal does not end.
+// nextStatement returns the tokens up to the next semicolon. more is set if the statement ends with a
+// semicolon. ok is false if a comment or a literal is not terminated.
 func (s *scanner) nextStatement() (tokens []token, more, ok bool) {
 	for {
 		if !s.skipBlank() {
@@ -52,7 +58,7 @@
 	}
 }
 
-// skipBlank passes over blanks and comments. false: a comment does not end.
+// skipBlank skips white space and comments. It returns false if a comment is not terminated.
 func (s *scanner) skipBlank() bool {
 	for s.position < len(s.text) {
 		rest := s.text[s.position:]
@@ -76,7 +82,8 @@
 	return true
 }
 
-// nextToken reads the token at the position, which is not blank. false: a literal does not end.
+// nextToken reads the token at the position, which is not blank. ok is false if a quoted token is not
+// terminated.
 func (s *scanner) nextToken() (t token, ok bool) {
 	from := s.position
 	switch c := s.text[from]; {
@@ -105,7 +112,8 @@
 	return token{from: from, folded: s.text[from:s.position]}, true
 }
 
-// nextIdentifier reads a word, or a literal or an identifier with a prefix: E'...', B'...', X'...', N'...', U&'...', U&"...".
+// nextIdentifier reads a word, or a literal or quoted identifier with a prefix: E'...', B'...', X'...',
+// N'...', U&'...', U&"...".
 func (s *scanner) nextIdentifier() (t token, ok bool) {
 	from := s.position
 	for s.position < len(s.text) && (isIdentifierByte(s.text[s.position]) || s.text[s.position] == '$') {
@@ -133,18 +141,20 @@
 	t.to = s.position
 	t.text = s.text[t.from:t.to]
 	if len(tokens) >= maxTokens {
-		tokens[maxTokens-1] = t // the end of a statement counts, and where it stands
+		// The last token is always retained, since it marks where the statement ends.
+		tokens[maxTokens-1] = t
 		return tokens
 	}
 	return append(tokens, t)
 }
 
-// isIdentifierByte: letters of other scripts are parts of words too.
+// isIdentifierByte reports whether a byte may be part of a word. All bytes of non-ASCII characters may.
 func isIdentifierByte(c byte) bool {
 	return c == '_' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c >= 0x80
 }
 
-// skipComment passes over a comment, which may hold others.
+// skipComment skips a comment, which may contain nested comments. It returns false if the comment is not
+// terminated.
 func (s *scanner) skipComment() bool {
 	depth := 0
 	for s.position+1 < len(s.text) {
@@ -165,7 +175,8 @@
 	return false
 }
 
-// skipQuoted passes over what stands in quotes; a doubled quote stands for one, a backslash escapes in E'...'.
+// skipQuoted skips a quoted text, in which a doubled quote stands for one. escapes is set for E'...', in
+// which a backslash escapes the next character. It returns false if the text is not terminated.
 func (s *scanner) skipQuoted(quote byte, escapes bool) bool {
 	for s.position++; s.position < len(s.text); s.position++ {
 		switch c := s.text[s.position]; {
@@ -181,7 +192,8 @@
 	return false
 }
 
-// skipDollarQuoted passes over $tag$...$tag$; a text that is no such literal is left where it is.
+// skipDollarQuoted skips a literal $tag$...$tag$. If the text is no such literal, it returns false and leaves
+// the position as it is.
 func (s *scanner) skipDollarQuoted() bool {
 	end := s.position + 1
 	for end < len(s.text) && isIdentifierByte(s.text[end]) {
--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -9,25 +9,26 @@
 	"pgregory.net/rapid"
 )
 
-// script plays words to a tracker: a statement with the tag it got, "!" for an error, "=I" for a status.
-func script(t *Tracker, words ...string) {
-	for _, w := range words {
+// replay passes steps to a tracker: a statement, optionally with "->" and its tag; "!" for an error; "=I" for
+// a status.
+func replay(tracker *Tracker, steps ...string) {
+	for _, step := range steps {
 		switch {
-		case w == "!":
-			t.Failed()
-		case w[0] == '=':
-			t.Ready(w[1])
+		case step == "!":
+			tracker.Failed()
+		case step[0] == '=':
+			tracker.Ready(step[1])
 		default:
-			text, tag, _ := strings.Cut(w, "->")
+			text, tag, _ := strings.Cut(step, "->")
 			q := Scan(text)
-			t.Completed(&q.Statements[0], tag)
+			tracker.Completed(&q.Statements[0], tag)
 		}
 	}
 }
 
 func TestSettingsFollowTransactions(t *testing.T) {
 	for name, c := range map[string]struct {
-		words []string
+		steps []string
 		want  string
 	}{
 		"commit":                      {[]string{"BEGIN", "=T", "SET a TO 1", "=T", "COMMIT->COMMIT", "=I"}, "1"},
@@ -46,21 +47,21 @@
 		"discard":                     {[]string{"SET a TO 1", "=I", "DISCARD ALL", "=I"}, ""},
 	} {
 		tr := NewTracker(NoSettings)
-		script(&tr, c.words...)
+		replay(&tr, c.steps...)
 		got := strings.TrimPrefix(tr.Settings().Rendering("a"), "SET a TO ")
 		require.Equal(t, c.want, got, name)
 		require.False(t, tr.StateUnknown(), name)
 		require.False(t, tr.InBlock(), name)
 	}
 	tr := NewTracker(NoSettings)
-	script(&tr, "BEGIN", "=T", "SET a TO 1")
-	script(&tr, "=I") // it ended, and nothing seen ended it
+	replay(&tr, "BEGIN", "=T", "SET a TO 1")
+	replay(&tr, "=I") // the block ended without a statement that ends it
 	require.True(t, tr.StateUnknown())
 	tr.Lost()
 	require.Same(t, NoSettings, tr.Settings())
 }
 
-func TestChangesAreTheLeast(t *testing.T) {
+func TestRestoreQueryIsMinimal(t *testing.T) {
 	v := NoSettings.With("a", "SET a TO 1").With("role", "SET ROLE r")
 	require.Equal(t, "SET a TO 1;SET ROLE r;", RestoreQuery(NoSettings, v))
 	require.Equal(t, `RESET "role";RESET "a";`, RestoreQuery(v, NoSettings))
@@ -69,20 +70,21 @@
 	require.Same(t, NoSettings, v.With("a", "").With("role", ""))
 	require.Equal(t, `RESET "app"."x""y";`, RestoreQuery(NoSettings.With(`app.x"y`, "-"), NoSettings))
 	require.Equal(t, `SELECT pg_catalog.set_config('a',  E'it''s \\ so', false)`, StartupRendering("a", `it's \ so`))
-	// RESET gives the connection its own default, not the session's: the next change puts that right.
+	// RESET sets the connection's default instead of the session's startup value. RestoreQuery corrects that.
 	start := NoSettings.With("a", "SET a TO 7")
 	tr := NewTracker(start)
-	script(&tr, "SET a TO 8", "=I", "RESET a", "=I")
+	replay(&tr, "SET a TO 8", "=I", "RESET a", "=I")
 	require.Equal(t, "SET a TO 7;", RestoreQuery(tr.SettingsOnServer(), tr.Settings()))
 	tr.Restored()
 	require.Empty(t, RestoreQuery(tr.SettingsOnServer(), tr.Settings()))
 }
 
-// model is a server's settings by the book: a stack of whole copies.
-type model struct {
-	now   map[string]string
-	stack []map[string]string
-	names []string
+// settingsModel is a simple model of a server's settings, with a full copy for the transaction and for each
+// savepoint.
+type settingsModel struct {
+	current        map[string]string
+	snapshots      []map[string]string
+	savepointNames []string
 }
 
 func TestSettingsAgainstAModel(t *testing.T) {
@@ -94,34 +96,34 @@
 		return c
 	}
 	rapid.Check(t, func(r *rapid.T) {
-		m := model{now: map[string]string{}}
+		m := settingsModel{current: map[string]string{}}
 		tr := NewTracker(NoSettings)
 		for range rapid.IntRange(1, 40).Draw(r, "steps") {
 			name := rapid.SampledFrom([]string{"a", "b"}).Draw(r, "name")
 			value := fmt.Sprint(rapid.IntRange(0, 3).Draw(r, "value"))
 			switch op := rapid.SampledFrom([]string{"set", "reset", "begin", "commit", "rollback", "savepoint", "to", "release"}).Draw(r, "op"); {
 			case op == "set":
-				m.now[name] = value
-				script(&tr, "SET "+name+" TO "+value)
+				m.current[name] = value
+				replay(&tr, "SET "+name+" TO "+value)
 			case op == "reset":
-				delete(m.now, name)
-				script(&tr, "RESET "+name)
-			case op == "begin" && len(m.stack) == 0:
-				m.stack, m.names = append(m.stack, copied(m.now)), append(m.names, "")
-				script(&tr, "BEGIN")
-			case op == "commit" && len(m.stack) > 0:
-				m.stack, m.names = nil, nil
-				script(&tr, "COMMIT->COMMIT")
-			case op == "rollback" && len(m.stack) > 0:
-				m.now, m.stack, m.names = m.stack[0], nil, nil
-				script(&tr, "ROLLBACK")
-			case op == "savepoint" && len(m.stack) > 0:
-				m.stack, m.names = append(m.stack, copied(m.now)), append(m.names, name)
-				script(&tr, "SAVEPOINT "+name)
+				delete(m.current, name)
+				replay(&tr, "RESET "+name)
+			case op == "begin" && len(m.snapshots) == 0:
+				m.snapshots, m.savepointNames = append(m.snapshots, copied(m.current)), append(m.savepointNames, "")
+				replay(&tr, "BEGIN")
+			case op == "commit" && len(m.snapshots) > 0:
+				m.snapshots, m.savepointNames = nil, nil
+				replay(&tr, "COMMIT->COMMIT")
+			case op == "rollback" && len(m.snapshots) > 0:
+				m.current, m.snapshots, m.savepointNames = m.snapshots[0], nil, nil
+				replay(&tr, "ROLLBACK")
+			case op == "savepoint" && len(m.snapshots) > 0:
+				m.snapshots, m.savepointNames = append(m.snapshots, copied(m.current)), append(m.savepointNames, name)
+				replay(&tr, "SAVEPOINT "+name)
 			case op == "to" || op == "release":
 				at := -1
-				for i := range m.names {
-					if i > 0 && m.names[i] == name {
+				for i := range m.savepointNames {
+					if i > 0 && m.savepointNames[i] == name {
 						at = i
 					}
 				}
@@ -129,47 +131,48 @@
 					continue
 				}
 				if op == "to" {
-					m.now = copied(m.stack[at])
-					m.stack, m.names = m.stack[:at+1], m.names[:at+1]
-					script(&tr, "ROLLBACK TO "+name)
+					m.current = copied(m.snapshots[at])
+					m.snapshots, m.savepointNames = m.snapshots[:at+1], m.savepointNames[:at+1]
+					replay(&tr, "ROLLBACK TO "+name)
 				} else {
-					m.stack, m.names = m.stack[:at], m.names[:at]
-					script(&tr, "RELEASE "+name)
+					m.snapshots, m.savepointNames = m.snapshots[:at], m.savepointNames[:at]
+					replay(&tr, "RELEASE "+name)
 				}
 			}
-			if len(m.stack) == 0 {
-				script(&tr, "=I")
+			if len(m.snapshots) == 0 {
+				replay(&tr, "=I")
 			} else {
-				script(&tr, "=T")
+				replay(&tr, "=T")
 			}
 			for _, n := range []string{"a", "b"} {
-				require.Equal(r, m.now[n], strings.TrimPrefix(tr.Settings().Rendering(n), "SET "+n+" TO "), n)
+				require.Equal(r, m.current[n], strings.TrimPrefix(tr.Settings().Rendering(n), "SET "+n+" TO "), n)
 			}
 			require.False(r, tr.StateUnknown())
 		}
 	})
 }
 
-// answers plays a server's messages, written as kind or kind:word, and returns the kinds that reach the client.
-func answers(t *testing.T, p *Pipeline, words ...string) (passed string) {
-	local := func() {
+// receive passes the server's messages, written as kind or kind:detail, to the pipeline, and returns the
+// kinds of the messages that reach the client.
+func receive(t *testing.T, p *Pipeline, messages ...string) (forwarded string) {
+	drainLocalReplies := func() {
 		for k := p.NextLocalReply(); k != 0; k = p.NextLocalReply() {
-			passed += string(k)
+			forwarded += string(k)
 		}
 	}
-	local()
-	for _, w := range words {
-		a := p.HandleServerMessage(w[0], strings.TrimPrefix(w[1:], ":"))
-		require.False(t, a.Unexpected, "%s", w)
-		if !a.Drop {
-			passed += w[:1]
+	drainLocalReplies()
+	for _, message := range messages {
+		action := p.HandleServerMessage(message[0], strings.TrimPrefix(message[1:], ":"))
+		require.False(t, action.Unexpected, "%s", message)
+		if !action.Drop {
+			forwarded += message[:1]
 		}
-		local()
+		drainLocalReplies()
 	}
-	return passed
+	return forwarded
 }
 
-func pipeline() (*Pipeline, *Catalogue, *ServerStatements) {
+func newTestPipeline() (*Pipeline, *Catalogue, *ServerStatements) {
 	c := NewCatalogue(0)
 	s := NewServerStatements(2)
 	p := NewPipeline(NoSettings, c)
@@ -181,12 +184,12 @@
 	return p.Parse(name, p.catalogue.Acquire(text, []byte{0, 0}, p.Settings()))
 }
 
-func TestStatementsArePreparedWhereTheyLack(t *testing.T) {
-	p, c, s := pipeline()
+func TestStatementsArePreparedWhereMissing(t *testing.T) {
+	p, c, s := newTestPipeline()
 	require.NotEmpty(t, p.parse("a", "SELECT 1").Rename)
 	p.Sync()
-	require.Equal(t, "1Z", answers(t, p, "1", "Z:I"))
-	// Another connection, on which it is not prepared.
+	require.Equal(t, "1Z", receive(t, p, "1", "Z:I"))
+	// On another connection the statement is not prepared yet.
 	other := NewServerStatements(2)
 	p.Link(other, false)
 	out := p.Bind("", "a")
@@ -194,33 +197,33 @@
 	require.Equal(t, "SELECT 1", out.Before[0].Parse.Text)
 	p.Execute("")
 	p.Sync()
-	require.Equal(t, "2CZ", answers(t, p, "1", "2", "C:SELECT 1", "Z:I"))
-	// Another session prepares the same under another name: nothing is sent.
+	require.Equal(t, "2CZ", receive(t, p, "1", "2", "C:SELECT 1", "Z:I"))
+	// Another session prepares the same statement under another name: nothing is sent.
 	q := NewPipeline(NoSettings, c)
 	q.Link(s, false)
 	require.True(t, q.parse("b", "SELECT 1").Drop)
 	q.Sync()
-	require.Equal(t, "1Z", answers(t, q, "Z:I"))
+	require.Equal(t, "1Z", receive(t, q, "Z:I"))
 	require.Equal(t, 1, c.Len())
-	// One name, two texts.
+	// Two sessions use one name for two texts.
 	require.NotEqual(t, p.Find("a"), q.Find("a"))
 	q.parse("a", "SELECT 2")
 	q.Sync()
-	answers(t, q, "1", "Z:I")
+	receive(t, q, "1", "Z:I")
 	require.NotEqual(t, p.Find("a").Key, q.Find("a").Key)
-	// A third makes the first that is not needed go.
+	// A third statement evicts the least recently used one.
 	out = q.parse("c", "SELECT 3")
 	require.Equal(t, []Injection{{Close: p.Find("a").Key}}, out.Before)
 	q.Sync()
-	require.Equal(t, "1Z", answers(t, q, "3", "1", "Z:I"))
-	// An error before that leaves it where it was.
+	require.Equal(t, "1Z", receive(t, q, "3", "1", "Z:I"))
+	// After an error before the injected Close, the statement is still prepared.
 	q.Bind("", "none")
 	out = q.parse("d", "SELECT 4")
 	require.Len(t, out.Before, 1)
 	closed := out.Before[0].Close
 	require.False(t, s.Has(closed))
 	q.Sync()
-	require.Equal(t, "EZ", answers(t, q, "E:26000", "Z:I"))
+	require.Equal(t, "EZ", receive(t, q, "E:26000", "Z:I"))
 	require.True(t, s.Has(closed))
 	require.False(t, s.Has(KeyOf("SELECT 4", []byte{0, 0}, NoSettings)))
 	q.Close()
@@ -229,75 +232,75 @@
 	require.Zero(t, c.Bytes())
 }
 
-func TestAParseThatAnErrorSkippedIsNotRecorded(t *testing.T) {
-	p, c, s := pipeline()
+func TestParseSkippedByErrorIsNotRecorded(t *testing.T) {
+	p, c, s := newTestPipeline()
 	p.parse("a", "SELECT 1")
 	p.Bind("", "a")
 	p.parse("b", "SELECT 2")
 	p.CloseStatement("a")
 	p.Sync()
-	p.parse("c", "SELECT 3") // the next pipeline, sent ahead
+	p.parse("c", "SELECT 3") // the next pipeline, sent before the first is answered
 	p.Sync()
-	require.Equal(t, "1EZ1Z", answers(t, p, "1", "E:22012", "Z:I", "1", "Z:I"))
+	require.Equal(t, "1EZ1Z", receive(t, p, "1", "E:22012", "Z:I", "1", "Z:I"))
 	require.NotNil(t, p.Find("a"))
 	require.Nil(t, p.Find("b"))
 	require.NotNil(t, p.Find("c"))
 	require.False(t, s.Has(KeyOf("SELECT 2", []byte{0, 0}, NoSettings)))
 	require.Equal(t, 2, c.Len())
-	// An error whose Sync is still to come: what follows is not sent.
+	// After an error, what follows before the Sync is not sent.
 	p.Bind("", "a")
-	require.Equal(t, "E", answers(t, p, "E:22012"))
+	require.Equal(t, "E", receive(t, p, "E:22012"))
 	require.True(t, p.parse("d", "SELECT 4").Drop)
 	require.True(t, p.Execute("").Drop)
 	require.False(t, p.Idle())
 	require.False(t, p.Sync().Drop)
-	require.Equal(t, "Z", answers(t, p, "Z:I"))
+	require.Equal(t, "Z", receive(t, p, "Z:I"))
 	require.Nil(t, p.Find("d"))
 	require.True(t, p.Idle())
-	// A result that is not what it was: the statement is closed and prepared anew.
+	// If the type of a result has changed, the statement is closed and prepared again.
 	p.Bind("", "c")
 	p.Sync()
-	require.Equal(t, "EZ", answers(t, p, "E:0A000", "Z:I"))
+	require.Equal(t, "EZ", receive(t, p, "E:0A000", "Z:I"))
 	out := p.Bind("", "c")
 	require.Equal(t, p.Find("c").Key, out.Before[0].Close)
 	require.Equal(t, "SELECT 3", out.Before[1].Parse.Text)
 	p.Sync()
-	require.Equal(t, "2Z", answers(t, p, "3", "1", "2", "Z:I"))
+	require.Equal(t, "2Z", receive(t, p, "3", "1", "2", "Z:I"))
 }
 
 func TestExecuteAndDeallocateInQueries(t *testing.T) {
-	p, _, s := pipeline()
+	p, _, s := newTestPipeline()
 	p.parse("a", "SELECT 1")
 	p.Sync()
-	answers(t, p, "1", "Z:I")
+	receive(t, p, "1", "Z:I")
 	s.Clear()
 	q := Scan("SELECT 0; EXECUTE a")
 	out := p.Query("SELECT 0; EXECUTE a", q)
 	require.Equal(t, "SELECT 0; EXECUTE "+p.Find("a").Name(), out.Text)
 	require.Len(t, out.Before, 1)
-	require.Equal(t, "TDCTDCZ", answers(t, p, "1", "Z:I", "T", "D", "C:SELECT 1", "T", "D", "C:SELECT 1", "Z:I"))
+	require.Equal(t, "TDCTDCZ", receive(t, p, "1", "Z:I", "T", "D", "C:SELECT 1", "T", "D", "C:SELECT 1", "Z:I"))
 	p.Query("DEALLOCATE ALL", Scan("DEALLOCATE ALL"))
-	require.Equal(t, "CZ", answers(t, p, "C:DEALLOCATE ALL", "Z:I"))
+	require.Equal(t, "CZ", receive(t, p, "C:DEALLOCATE ALL", "Z:I"))
 	require.Zero(t, p.Len())
 	require.Zero(t, s.Len())
 }
 
-func TestCopyAndOddities(t *testing.T) {
-	p, _, _ := pipeline()
+func TestCopyInAndUnexpectedMessages(t *testing.T) {
+	p, _, _ := newTestPipeline()
 	p.parse("", "COPY a FROM STDIN")
 	p.Bind("", "")
 	p.Execute("")
-	p.Sync() // ahead of the data: the server does not answer it
-	require.Equal(t, "12G", answers(t, p, "1", "2", "G"))
+	p.Sync() // sent before the data: the server does not answer it
+	require.Equal(t, "12G", receive(t, p, "1", "2", "G"))
 	require.True(t, p.CopyIn())
 	require.True(t, p.Sync().Drop)
-	require.Equal(t, "C", answers(t, p, "C:COPY 3"))
+	require.Equal(t, "C", receive(t, p, "C:COPY 3"))
 	p.Sync()
-	require.Equal(t, "Z", answers(t, p, "Z:I"))
+	require.Equal(t, "Z", receive(t, p, "Z:I"))
 	require.True(t, p.HandleServerMessage('C', "SELECT 1").Unexpected, "nothing is due")
 	p.Sync()
 	require.True(t, p.HandleServerMessage('2', "").Unexpected)
-	p, _, _ = pipeline()
+	p, _, _ = newTestPipeline()
 	p.SettingsSent()
 	require.Equal(t, ServerAction{Drop: true}, p.HandleServerMessage('C', "SET"))
 	require.Equal(t, ServerAction{Drop: true, Failed: true}, p.HandleServerMessage('E', "22023"))
@@ -305,10 +308,10 @@
 	require.True(t, p.Idle())
 }
 
-func TestWhatALossMeans(t *testing.T) {
+func TestOutcomeOfLostConnection(t *testing.T) {
 	for name, c := range map[string]struct {
-		open     []string // queries that were answered
-		due      []string // and that were not
+		answered []string // queries that were answered before the loss
+		pending  []string // queries that were not answered
 		readOnly bool
 		unsent   bool
 		state    string
@@ -317,35 +320,36 @@
 		silent   bool
 	}{
 		"idle":                       {silent: true, state: SQLStateSafeToRetry, status: 'I'},
-		"in a block":                 {open: []string{"BEGIN"}, state: SQLStateSafeToRetry, status: 'E'},
-		"a statement of a block":     {open: []string{"BEGIN"}, due: []string{"INSERT"}, state: SQLStateSafeToRetry, status: 'E', cycles: 1},
-		"a commit":                   {open: []string{"BEGIN"}, due: []string{"COMMIT"}, state: SQLStateInDoubt, status: 'I', cycles: 1},
-		"a commit that never left":   {open: []string{"BEGIN"}, due: []string{"COMMIT"}, unsent: true, state: SQLStateSafeToRetry, status: 'I', cycles: 1},
-		"a rollback":                 {open: []string{"BEGIN"}, due: []string{"ROLLBACK"}, state: SQLStateSafeToRetry, status: 'I', cycles: 1},
-		"a write by itself":          {due: []string{"INSERT"}, state: SQLStateInDoubt, status: 'I', cycles: 1},
-		"a read of a read-only":      {due: []string{"SELECT 1"}, readOnly: true, state: SQLStateSafeToRetry, status: 'I', cycles: 1},
-		"a function may write":       {due: []string{"SELECT f()"}, state: SQLStateInDoubt, status: 'I', cycles: 1},
-		"a setting":                  {due: []string{"SET a TO 1"}, state: SQLStateSafeToRetry, status: 'I', cycles: 1},
-		"a whole block at once":      {due: []string{"BEGIN; INSERT; COMMIT"}, state: SQLStateInDoubt, status: 'I', cycles: 1},
-		"a begin and what came next": {due: []string{"BEGIN", "INSERT"}, state: SQLStateSafeToRetry, status: 'E', cycles: 2},
+		"in a block":                 {answered: []string{"BEGIN"}, state: SQLStateSafeToRetry, status: 'E'},
+		"a statement of a block":     {answered: []string{"BEGIN"}, pending: []string{"INSERT"}, state: SQLStateSafeToRetry, status: 'E', cycles: 1},
+		"a commit":                   {answered: []string{"BEGIN"}, pending: []string{"COMMIT"}, state: SQLStateInDoubt, status: 'I', cycles: 1},
+		"a commit that never left":   {answered: []string{"BEGIN"}, pending: []string{"COMMIT"}, unsent: true, state: SQLStateSafeToRetry, status: 'I', cycles: 1},
+		"a rollback":                 {answered: []string{"BEGIN"}, pending: []string{"ROLLBACK"}, state: SQLStateSafeToRetry, status: 'I', cycles: 1},
+		"a write by itself":          {pending: []string{"INSERT"}, state: SQLStateInDoubt, status: 'I', cycles: 1},
+		"a read of a read-only":      {pending: []string{"SELECT 1"}, readOnly: true, state: SQLStateSafeToRetry, status: 'I', cycles: 1},
+		"a function may write":       {pending: []string{"SELECT f()"}, state: SQLStateInDoubt, status: 'I', cycles: 1},
+		"a setting":                  {pending: []string{"SET a TO 1"}, state: SQLStateSafeToRetry, status: 'I', cycles: 1},
+		"a whole block at once":      {pending: []string{"BEGIN; INSERT; COMMIT"}, state: SQLStateInDoubt, status: 'I', cycles: 1},
+		"a begin and what came next": {pending: []string{"BEGIN", "INSERT"}, state: SQLStateSafeToRetry, status: 'E', cycles: 2},
 	} {
-		p, _, _ := pipeline()
+		p, _, _ := newTestPipeline()
 		p.Link(NewServerStatements(1), c.readOnly)
-		for _, text := range c.open {
+		for _, text := range c.answered {
 			p.Query(text, Scan(text))
-			answers(t, p, "C:"+text, "Z:T")
+			receive(t, p, "C:"+text, "Z:T")
 		}
-		for _, text := range c.due {
+		for _, text := range c.pending {
 			p.Query(text, Scan(text))
 		}
-		l := p.Lose(!c.unsent)
-		require.Equal(t, c.state, l.SQLState, name)
+		loss := p.Lose(!c.unsent)
+		require.Equal(t, c.state, loss.SQLState, name)
 		require.Equal(t, string(c.status), string(p.Status()), name)
-		require.Equal(t, c.cycles, l.Cycles, name)
-		require.Equal(t, c.silent, l.Silent, name)
+		require.Equal(t, c.cycles, loss.Cycles, name)
+		require.Equal(t, c.silent, loss.Silent, name)
 		require.Equal(t, c.status == 'E', p.BlockLost(), name)
 	}
-	// What ran is in doubt until ReadyForQuery says how its transaction ended, whatever was answered before.
+	// Statements that ran are in doubt until a ReadyForQuery tells how their transaction ended, even if they
+	// were answered.
 	for _, c := range []struct {
 		text, block string
 		answers     []string
@@ -357,56 +361,56 @@
 		{"INSERT", "T", []string{"C:INSERT 0 1"}, SQLStateSafeToRetry},
 		{"SET a TO 1", "", []string{"C:SET"}, SQLStateSafeToRetry},
 	} {
-		p, _, _ := pipeline()
+		p, _, _ := newTestPipeline()
 		if c.block != "" {
 			p.Query("BEGIN", Scan("BEGIN"))
-			answers(t, p, "C:BEGIN", "Z:T")
+			receive(t, p, "C:BEGIN", "Z:T")
 		}
 		p.Query(c.text, Scan(c.text))
-		answers(t, p, c.answers...)
+		receive(t, p, c.answers...)
 		require.Equal(t, c.state, p.Lose(true).SQLState, "%s %v", c.text, c.answers)
-		p, _, _ = pipeline()
+		p, _, _ = newTestPipeline()
 		if c.block != "" {
 			p.Query("BEGIN", Scan("BEGIN"))
-			answers(t, p, "C:BEGIN", "Z:T")
+			receive(t, p, "C:BEGIN", "Z:T")
 		}
 		p.parse("", c.text)
 		p.Bind("", "")
 		p.Execute("")
 		p.Sync()
-		answers(t, p, append([]string{"1", "2"}, c.answers...)...)
+		receive(t, p, append([]string{"1", "2"}, c.answers...)...)
 		require.Equal(t, c.state, p.Lose(true).SQLState, "extended: %s %v", c.text, c.answers)
 	}
-	// A pipeline whose Sync had not come: nothing can have been committed, and the rest of it is skipped.
-	p, c, _ := pipeline()
+	// Without its Sync a pipeline cannot have committed anything, and the rest of it is skipped.
+	p, c, _ := newTestPipeline()
 	p.parse("", "INSERT")
 	p.Bind("", "")
 	p.Execute("")
-	l := p.Lose(true)
-	require.Equal(t, Loss{SQLState: SQLStateSafeToRetry, Text: l.Text}, l)
+	loss := p.Lose(true)
+	require.Equal(t, Loss{SQLState: SQLStateSafeToRetry, Text: loss.Text}, loss)
 	require.True(t, p.Skipping())
 	require.Zero(t, c.Len())
 	p.SyncLocally()
 	require.True(t, p.Idle())
 }
 
-func TestQueueIsFairAndTimely(t *testing.T) {
+func TestQueueOrderAndDeadlines(t *testing.T) {
 	var q Queue
-	ws := make([]*Waiter, 4)
-	for i := range ws {
-		ws[i] = &Waiter{Deadline: float64(100 + i*10)}
-		require.Equal(t, i < 3, q.Add(ws[i], 3))
+	waiters := make([]*Waiter, 4)
+	for i := range waiters {
+		waiters[i] = &Waiter{Deadline: float64(100 + i*10)}
+		require.Equal(t, i < 3, q.Add(waiters[i], 3))
 	}
-	var late []*Waiter
-	note := func(w *Waiter) { late = append(late, w) }
-	require.Same(t, ws[1], q.Next(105, note))
-	require.Equal(t, []*Waiter{ws[0]}, late)
-	require.True(t, q.Add(ws[3], 3))
-	q.Expire(125, note)
-	require.Equal(t, []*Waiter{ws[0], ws[2]}, late)
-	require.False(t, ws[2].IsQueued())
-	ws[3].Dequeue()
-	require.Nil(t, q.Next(0, note))
+	var expired []*Waiter
+	recordExpired := func(w *Waiter) { expired = append(expired, w) }
+	require.Same(t, waiters[1], q.Next(105, recordExpired))
+	require.Equal(t, []*Waiter{waiters[0]}, expired)
+	require.True(t, q.Add(waiters[3], 3))
+	q.Expire(125, recordExpired)
+	require.Equal(t, []*Waiter{waiters[0], waiters[2]}, expired)
+	require.False(t, waiters[2].IsQueued())
+	waiters[3].Dequeue()
+	require.Nil(t, q.Next(0, recordExpired))
 	require.Equal(t, 50.0, WaitTimeout(80, 50, 4))
 	require.Equal(t, 26.0, WaitTimeout(30, 50, 4))
 	require.Equal(t, 50.0, WaitTimeout(0, 50, 4))
@@ -415,14 +419,14 @@
 
 func TestCatalogueIsBounded(t *testing.T) {
 	c := NewCatalogue(2000)
-	taken := 0
+	accepted := 0
 	for i := range 100 {
 		if c.Acquire(fmt.Sprintf("SELECT %d", i), nil, NoSettings) != nil {
-			taken++
+			accepted++
 		}
 	}
-	require.Equal(t, taken, c.Len())
-	require.Less(t, taken, 20)
+	require.Equal(t, accepted, c.Len())
+	require.Less(t, accepted, 20)
 	require.NotNil(t, c.Acquire("SELECT 0", nil, NoSettings), "one that is there costs nothing")
 	require.NotEqual(t, KeyOf("SELECT a", nil, NoSettings), KeyOf("SELECT a", nil, NoSettings.With("search_path", "x")))
 	require.NotEqual(t, KeyOf("SELECT a", []byte{1}, NoSettings), KeyOf("SELECT a\x01", nil, NoSettings))
--- a/internal/session/settings.go
+++ b/internal/session/settings.go
@@ -6,69 +6,72 @@
 	"strings"
 )
 
-// Settings are settings by name, each as the text that makes it. A Values is never changed once it is shared: sessions
-// and connections hold the same one, and comparing two of them mostly ends at the pointer.
+// Settings holds settings by name, each as the SQL text that sets it. Settings are immutable: sessions and
+// connections share them, and most comparisons find that two pointers are equal.
 type Settings struct {
 	renderings map[string]string
-	size       int
+	// size is the total length of all names and renderings. Equal compares it first.
+	size int
 }
 
-// NoSettings are the settings of a connection that nobody changed.
+// NoSettings are the settings of a connection on which every setting has its default.
 var NoSettings = &Settings{}
 
-// Rendering returns the text that makes a setting; "" where the connection's own default holds.
-func (v *Settings) Rendering(name string) string { return v.renderings[name] }
+// Rendering returns the SQL text that sets a setting; "" if it has the connection's default.
+func (s *Settings) Rendering(name string) string { return s.renderings[name] }
 
-// Equal reports whether nothing has to be changed between the two.
-func (v *Settings) Equal(o *Settings) bool {
-	return v == o || v.size == o.size && maps.Equal(v.renderings, o.renderings)
+// Equal reports whether both have the same settings.
+func (s *Settings) Equal(other *Settings) bool {
+	return s == other || s.size == other.size && maps.Equal(s.renderings, other.renderings)
 }
 
-// With returns the settings with one changed; "" takes it out.
-func (v *Settings) With(name, render string) *Settings {
-	if v.renderings[name] == render {
-		return v
+// With returns the settings with one of them changed; the rendering "" removes it.
+func (s *Settings) With(name, rendering string) *Settings {
+	if s.renderings[name] == rendering {
+		return s
 	}
-	of := maps.Clone(v.renderings)
-	if of == nil {
-		of = map[string]string{}
+	renderings := maps.Clone(s.renderings)
+	if renderings == nil {
+		renderings = map[string]string{}
 	}
-	if render == "" {
-		delete(of, name)
+	if rendering == "" {
+		delete(renderings, name)
 	} else {
-		of[name] = render
+		renderings[name] = rendering
 	}
-	if len(of) == 0 {
+	if len(renderings) == 0 {
 		return NoSettings
 	}
 	size := 0
-	for n, r := range of {
+	for n, r := range renderings {
 		size += len(n) + len(r)
 	}
-	return &Settings{renderings: of, size: size}
+	return &Settings{renderings: renderings, size: size}
 }
 
-// unknownRendering is the text of a setting whose value on a connection nobody knows: it equals none that a session has.
+// unknownRendering stands for a setting whose value on a connection is unknown. It differs from every
+// rendering that a session can have.
 const unknownRendering = "\x00"
 
-// RestoreQuery is the query that brings a connection from have to want, all in one round trip; "" where nothing differs.
-// Who the session acts as comes last when it is taken on and first when it is given back.
-func RestoreQuery(have, want *Settings) string {
-	if have.Equal(want) {
+// RestoreQuery returns the query that changes a connection's settings from current to target in one round
+// trip; "" if they are equal. The role and the session authorization are reset before all other settings, and
+// set after them.
+func RestoreQuery(current, target *Settings) string {
+	if current.Equal(target) {
 		return ""
 	}
 	var resets, sets []string
-	for name := range have.renderings {
-		if want.renderings[name] == "" {
+	for name := range current.renderings {
+		if target.renderings[name] == "" {
 			resets = append(resets, name)
 		}
 	}
-	for name, render := range want.renderings {
-		if have.renderings[name] != render {
+	for name, rendering := range target.renderings {
+		if current.renderings[name] != rendering {
 			sets = append(sets, name)
 		}
 	}
-	identity := func(name string) int {
+	identityRank := func(name string) int {
 		switch name {
 		case "session_authorization":
 			return 1
@@ -78,13 +81,13 @@
 		return 0
 	}
 	slices.SortFunc(resets, func(a, b string) int {
-		if d := identity(b) - identity(a); d != 0 {
+		if d := identityRank(b) - identityRank(a); d != 0 {
 			return d
 		}
 		return strings.Compare(a, b)
 	})
 	slices.SortFunc(sets, func(a, b string) int {
-		if d := identity(a) - identity(b); d != 0 {
+		if d := identityRank(a) - identityRank(b); d != 0 {
 			return d
 		}
 		return strings.Compare(a, b)
@@ -94,12 +97,12 @@
 		out.WriteString("RESET " + quoteName(name) + ";")
 	}
 	for _, name := range sets {
-		out.WriteString(want.renderings[name] + ";")
+		out.WriteString(target.renderings[name] + ";")
 	}
 	return out.String()
 }
 
-// quoteName quotes a setting's name so that any character in it is taken as it is.
+// quoteName quotes a setting's name, so that it may contain any character.
 func quoteName(name string) string {
 	switch name {
 	case "session_authorization":
@@ -114,7 +117,8 @@
 	return strings.Join(parts, ".")
 }
 
-// QuoteLiteral quotes a value so that any text in it is taken as it is, whatever standard_conforming_strings says.
+// QuoteLiteral quotes a value as a string literal that means the same with standard_conforming_strings on and
+// off.
 func QuoteLiteral(value string) string {
 	quoted := "'" + strings.ReplaceAll(value, "'", "''") + "'"
 	if !strings.Contains(value, `\`) {
@@ -123,74 +127,81 @@
 	return " E" + strings.ReplaceAll(quoted, `\`, `\\`)
 }
 
-// StartupRendering is the text that makes a setting from a startup parameter, whose value is a list where the setting is one.
+// StartupRendering returns the SQL text that sets a setting to the value of a startup parameter. If the
+// setting takes a list, the value is the whole list.
 func StartupRendering(name, value string) string {
 	return "SELECT pg_catalog.set_config(" + QuoteLiteral(name) + ", " + QuoteLiteral(value) + ", false)"
 }
 
-// savepoint is a transaction's begin or a savepoint: the settings at that point.
+// savepoint holds the settings at the time of a SAVEPOINT.
 type savepoint struct {
-	name   string
-	values *Settings
+	name     string
+	settings *Settings
 }
 
-// Tracker follows one session's settings through its transactions. Its zero value is no session; see NewTracker.
+// Tracker tracks the settings of one session through its transactions. Its zero value is not usable; see
+// NewTracker.
 //
-// Statements outside a transaction block that travel together (a query string, a pipeline up to its Sync) are one
-// implicit transaction, as they are to a server: an error in the last takes back a SET in the first.
+// Statements outside a transaction block that are sent together (a query string, or a pipeline up to its
+// Sync) are one implicit transaction, as on the server: an error in the last one undoes a SET in the first.
 type Tracker struct {
-	startup      *Settings // what the client asked for when it connected; RESET goes back to it
-	current      *Settings
-	atBegin      *Settings   // at the transaction's begin
-	savepoints   []savepoint // savepoints
-	inBlock      bool        // in a block
-	failed       bool        // an error came since the last ReadyForQuery
-	stateUnknown bool        // the server's status is not what the statements seen account for
-	// resets are the settings that RESET gave back to the connection's default while the session has another of its
-	// own: on the connection they stand at a value that is not the session's.
+	// startup are the settings that the client requested when it connected. RESET returns to them.
+	startup *Settings
+	current *Settings
+	// atBegin are the settings at the beginning of the transaction.
+	atBegin    *Settings
+	savepoints []savepoint
+	inBlock    bool
+	// failed is set if an error came after the last ReadyForQuery.
+	failed bool
+	// stateUnknown is set if the statements seen do not explain the server's status.
+	stateUnknown bool
+	// resetNames are the settings that RESET set to the connection's default although the session's startup
+	// value is another. On the connection their value differs from the session's.
 	resetNames []string
 }
 
-// NewTracker returns the tracker of a session that connected with these settings.
+// NewTracker returns the tracker of a session that connected with the settings startup.
 func NewTracker(startup *Settings) Tracker {
 	return Tracker{startup: startup, current: startup, atBegin: startup}
 }
 
-// Settings is what holds in the session at this moment.
+// Settings returns the session's current settings.
 func (t *Tracker) Settings() *Settings { return t.current }
 
 // InBlock reports whether the session is in a transaction block.
 func (t *Tracker) InBlock() bool { return t.inBlock }
 
-// StateUnknown reports whether the server is in a state that the statements seen do not account for. What holds on its
-// connection is then unknown.
+// StateUnknown reports whether the server is in a state that the statements seen do not explain. The settings
+// on its connection are then unknown.
 func (t *Tracker) StateUnknown() bool { return t.stateUnknown }
 
-// SettingsOnServer is what holds on the connection that ran the session's statements.
+// SettingsOnServer returns the settings of the connection that ran the session's statements.
 func (t *Tracker) SettingsOnServer() *Settings {
-	v := t.current
+	settings := t.current
 	for _, name := range t.resetNames {
-		v = v.With(name, unknownRendering)
+		settings = settings.With(name, unknownRendering)
 	}
-	return v
+	return settings
 }
 
-// Restored says that the connection has been brought to what holds in the session.
+// Restored records that the session's settings have been applied to the connection.
 func (t *Tracker) Restored() { t.resetNames = t.resetNames[:0] }
 
-// Completed takes a statement that a server completed with this tag.
+// Completed records a statement that the server completed with this tag.
 func (t *Tracker) Completed(s *Statement, tag string) {
 	switch s.Kind {
 	case Begin:
 		t.inBlock = true
 	case Commit, Rollback:
-		// COMMIT of a failed transaction is answered with ROLLBACK; AND CHAIN shows in the status that follows.
-		t.end(s.Kind == Commit && tag != "ROLLBACK")
+		// The server answers the COMMIT of a failed transaction with the tag ROLLBACK. AND CHAIN shows in the
+		// status that follows.
+		t.endTransaction(s.Kind == Commit && tag != "ROLLBACK")
 	case Savepoint:
 		t.savepoints = append(t.savepoints, savepoint{s.Name, t.current})
 	case RollbackTo:
 		if i := t.findSavepoint(s.Name); i >= 0 {
-			t.current = t.savepoints[i].values
+			t.current = t.savepoints[i].settings
 			t.savepoints = t.savepoints[:i+1]
 			t.failed = false
 		} else {
@@ -208,22 +219,24 @@
 		t.reset(s.Name)
 	case ResetAll:
 		t.resetAll()
-	case DiscardAll: // and who the session acts as
+	// DISCARD ALL also resets the role and the session authorization, which RESET ALL does not.
+	case DiscardAll:
 		t.current = t.current.With("role", "").With("session_authorization", "")
 		t.resetAll()
 	}
 }
 
 func (t *Tracker) reset(name string) {
-	render := t.startup.Rendering(name)
-	t.current = t.current.With(name, render)
-	if render != "" && !slices.Contains(t.resetNames, name) {
+	rendering := t.startup.Rendering(name)
+	t.current = t.current.With(name, rendering)
+	if rendering != "" && !slices.Contains(t.resetNames, name) {
 		t.resetNames = append(t.resetNames, name)
 	}
 }
 
 func (t *Tracker) resetAll() {
-	role, authorization := t.current.Rendering("role"), t.current.Rendering("session_authorization") // RESET ALL leaves both
+	// RESET ALL leaves the role and the session authorization as they are.
+	role, authorization := t.current.Rendering("role"), t.current.Rendering("session_authorization")
 	t.current = t.startup
 	t.current = t.current.With("role", role).With("session_authorization", authorization)
 	t.resetNames = t.resetNames[:0]
@@ -232,7 +245,7 @@
 	}
 }
 
-// findSavepoint is the place of the latest savepoint of that name, or -1.
+// findSavepoint returns the index of the latest savepoint of that name, or -1.
 func (t *Tracker) findSavepoint(name string) int {
 	for i := len(t.savepoints) - 1; i >= 0; i-- {
 		if t.savepoints[i].name == name {
@@ -242,35 +255,38 @@
 	return -1
 }
 
-func (t *Tracker) end(commit bool) {
+// endTransaction ends the transaction. Unless it committed, the settings return to those at its beginning.
+func (t *Tracker) endTransaction(commit bool) {
 	if !commit {
 		t.current = t.atBegin
 	}
 	t.atBegin, t.savepoints, t.inBlock = t.current, t.savepoints[:0], false
 }
 
-// Failed takes an error of the server.
+// Failed records an error of the server.
 func (t *Tracker) Failed() { t.failed = true }
 
-// Ready takes the status of a ReadyForQuery: 'I' idle, 'T' in a transaction block, 'E' in a failed one.
+// Ready records the status of a ReadyForQuery: 'I' idle, 'T' in a transaction block, 'E' in a failed block.
 func (t *Tracker) Ready(status byte) {
 	switch status {
 	case 'I':
-		if t.inBlock { // it ended by means that no statement showed
+		if t.inBlock { // the block ended without a statement that ends it
 			t.stateUnknown = true
 		}
-		t.end(!t.failed && !t.inBlock)
+		t.endTransaction(!t.failed && !t.inBlock)
 	default:
-		if !t.inBlock { // COMMIT AND CHAIN, or a block that no statement showed: what came before is in
+		// This is COMMIT AND CHAIN, or a block that no statement seen began. What came before it is taken as
+		// committed.
+		if !t.inBlock {
 			t.atBegin, t.inBlock = t.current, true
 		}
 	}
 	t.failed = false
 }
 
-// Lost takes the loss of the server connection, and with it of whatever was not committed.
+// Lost records the loss of the server connection, which rolls back everything that was not committed.
 func (t *Tracker) Lost() {
-	t.end(false)
+	t.endTransaction(false)
 	t.failed, t.stateUnknown = false, false
 	t.resetNames = t.resetNames[:0]
 }
--- a/internal/session/statement.go
+++ b/internal/session/statement.go
@@ -1,9 +1,9 @@
 package session
 
-// StatementKind is what a statement means to the session that runs it.
+// StatementKind is the effect of a statement on the session that runs it.
 type StatementKind uint8
 
-// The kinds of statements. What is none of them leaves the session as it was.
+// The kinds of statements. Other and Select do not change the session.
 const (
 	Other StatementKind = iota
 	Select
@@ -21,24 +21,31 @@
 	Deallocate
 	DeallocateAll
 	Execute
-	MakesSticky // Cause says why the session can't leave its connection from here on
+	// MakesSticky binds the session to its connection from then on. Statement.Cause says why.
+	MakesSticky
 )
 
 // Statement is one statement of a query string.
 type Statement struct {
-	Kind     StatementKind
-	Name     string      // of a setting (folded), a savepoint or a prepared statement
-	Render   string      // Set: the text that makes the same setting again on another connection
-	ReadOnly bool        // Begin: READ ONLY was asked for
-	Writable bool        // Begin: READ WRITE was asked for
-	Cause    StickyCause // Pins
-	from, to int         // Execute: where the name stands in the query string
+	Kind StatementKind
+	// Name is the name of a setting (in lower case), a savepoint or a prepared statement.
+	Name string
+	// Render is, for Set, the SQL text that sets the same value on another connection.
+	Render string
+	// ReadOnly is set for a Begin with READ ONLY.
+	ReadOnly bool
+	// Writable is set for a Begin with READ WRITE.
+	Writable bool
+	// Cause is, for MakesSticky, why the session is bound to its connection.
+	Cause StickyCause
+	// from and to are, for Execute and Deallocate, the byte offsets of the name in the query string.
+	from, to int
 }
 
-// StickyCause is why a session can't be moved to another server connection.
+// StickyCause is why a session cannot be moved to another server connection.
 type StickyCause string
 
-// The causes; each is counted by itself.
+// The causes. Each is counted separately.
 const (
 	CauseTemporary  StickyCause = "temporary_table"
 	CauseListen     StickyCause = "listen"
@@ -52,27 +59,29 @@
 // Causes lists every cause, in the order in which they are reported.
 var Causes = []StickyCause{CauseTemporary, CauseListen, CauseLock, CauseCursor, CausePrepare, CauseLoad, CauseUnreadable}
 
-// unreadable is a statement of which nobody knows what it does to the session.
+// unreadable returns a statement whose effect on the session is unknown.
 func unreadable() Statement { return Statement{Kind: MakesSticky, Cause: CauseUnreadable} }
 
-// Query is a query string, read.
+// Query is a parsed query string.
 type Query struct {
 	Statements []Statement
-	Comment    string // what stands between the first /* and */, if the query begins with it
+	// Comment is the text of the comment /* ... */ with which the query begins, if it does.
+	Comment string
 }
 
-// EndsBlock reports whether a query begins with the end of a block.
+// EndsBlock reports whether the first statement of a query is a COMMIT or ROLLBACK.
 func (q *Query) EndsBlock() bool {
 	return len(q.Statements) > 0 && (q.Statements[0].Kind == Commit || q.Statements[0].Kind == Rollback)
 }
 
-// MayFollowError reports whether a query may run in a failed block: it ends the block, heals it, or is empty.
+// MayFollowError reports whether a query may run in a failed block: it ends the block, rolls back to a
+// savepoint, or is empty.
 func (q *Query) MayFollowError() bool {
 	return len(q.Statements) == 0 || q.EndsBlock() || q.Statements[0].Kind == RollbackTo
 }
 
-// Scan reads a query string. It never fails: a text that can't be read has a statement that makes the session sticky, since
-// nobody knows what it does.
+// Scan parses a query string. It never fails: for a text that it cannot parse, it returns a statement that
+// makes the session sticky, since the effect of the text is unknown.
 func Scan(text string) Query {
 	var q Query
 	s := scanner{text: text}
--- a/internal/session/statements.go
+++ b/internal/session/statements.go
@@ -8,112 +8,119 @@
 	"github.com/zeebo/blake3"
 )
 
-// Key names a prepared statement among all that any session has: the hash of its text, its parameter types and the
-// settings that change what its names mean.
+// Key identifies a prepared statement across all sessions. It is a hash of the statement's text, its
+// parameter types and the settings that affect how the text is interpreted.
 type Key [16]byte
 
-// meaningSettings are the settings under which a text may stand for something else.
-var meaningSettings = [...]string{"search_path", "role", "session_authorization", "standard_conforming_strings"}
+// interpretationSettings are the settings that affect how the text of a statement is interpreted.
+var interpretationSettings = [...]string{"search_path", "role", "session_authorization", "standard_conforming_strings"}
 
-// Prepared is a statement that a session prepared. It is shared by all that prepared the same.
+// Prepared is a prepared statement. All sessions that prepared the same statement share it.
 type Prepared struct {
-	Key    Key
-	Text   string
-	Params []byte // object ids as Parse holds them, four bytes each, behind their count of two
+	Key  Key
+	Text string
+	// Params are the parameter types as in a Parse message: a count of two bytes, then an object ID of four
+	// bytes for each.
+	Params []byte
 	Query  Query
-	users  int
+	// references is the number of references that sessions hold.
+	references int
 }
 
-// Name is what the statement is called on server connections.
+// Name returns the name of the statement on server connections.
 func (p *Prepared) Name() string { return "as_" + hex.EncodeToString(p.Key[:]) }
 
-// Bytes is what the statement takes.
+// Bytes returns the approximate memory that the statement uses.
 func (p *Prepared) Bytes() int { return len(p.Text) + len(p.Params) + 160 }
 
-// KeyOf names a statement.
-func KeyOf(text string, params []byte, v *Settings) (k Key) {
-	h := blake3.New()
-	var n [4]byte
-	part := func(s string) {
-		binary.BigEndian.PutUint32(n[:], uint32(len(s)))
-		_, _ = h.Write(n[:])
-		_, _ = h.WriteString(s)
+// KeyOf returns the key of a statement.
+func KeyOf(text string, params []byte, settings *Settings) (key Key) {
+	hash := blake3.New()
+	var length [4]byte
+	writePart := func(s string) {
+		binary.BigEndian.PutUint32(length[:], uint32(len(s)))
+		_, _ = hash.Write(length[:])
+		_, _ = hash.WriteString(s)
 	}
-	part(text)
-	part(string(params))
-	for _, name := range meaningSettings {
-		part(v.Rendering(name))
+	writePart(text)
+	writePart(string(params))
+	for _, name := range interpretationSettings {
+		writePart(settings.Rendering(name))
 	}
-	copy(k[:], h.Sum(nil))
-	return k
+	copy(key[:], hash.Sum(nil))
+	return key
 }
 
-// Catalogue holds every statement that some session prepared, once.
+// Catalogue holds one copy of each statement that any session has prepared.
 type Catalogue struct {
 	statements map[Key]*Prepared
 	bytes      int
-	maxBytes   int // bytes; 0: no bound
+	// maxBytes is the limit of bytes; 0: no limit.
+	maxBytes int
 }
 
-// NewCatalogue returns a catalogue that holds so many bytes.
-func NewCatalogue(most int) *Catalogue {
-	return &Catalogue{statements: map[Key]*Prepared{}, maxBytes: most}
+// NewCatalogue returns a catalogue that holds at most maxBytes; 0: no limit.
+func NewCatalogue(maxBytes int) *Catalogue {
+	return &Catalogue{statements: map[Key]*Prepared{}, maxBytes: maxBytes}
 }
 
-// SetMaxBytes takes another bound for what is added from now on.
-func (c *Catalogue) SetMaxBytes(most int) { c.maxBytes = most }
+// SetMaxBytes changes the limit for statements that are added from now on.
+func (c *Catalogue) SetMaxBytes(maxBytes int) { c.maxBytes = maxBytes }
 
-// Bytes is what all statements take.
+// Bytes returns the approximate memory that all statements use.
 func (c *Catalogue) Bytes() int { return c.bytes }
 
-// Len is how many there are.
+// Len returns the number of statements.
 func (c *Catalogue) Len() int { return len(c.statements) }
 
-// Acquire adds a user to a statement, which it makes where it is new. nil: there is no memory for it.
-func (c *Catalogue) Acquire(text string, params []byte, v *Settings) *Prepared {
-	k := KeyOf(text, params, v)
-	if p := c.statements[k]; p != nil {
-		p.users++
+// Acquire returns a statement with one more reference, and adds the statement if it is new. It returns nil if
+// a new one would exceed the limit.
+func (c *Catalogue) Acquire(text string, params []byte, settings *Settings) *Prepared {
+	key := KeyOf(text, params, settings)
+	if p := c.statements[key]; p != nil {
+		p.references++
 		return p
 	}
-	p := &Prepared{Key: k, Text: text, Params: append([]byte(nil), params...), users: 1}
+	p := &Prepared{Key: key, Text: text, Params: append([]byte(nil), params...), references: 1}
 	if c.maxBytes > 0 && c.bytes+p.Bytes() > c.maxBytes {
 		return nil
 	}
 	p.Query = Scan(text)
-	c.statements[k] = p
+	c.statements[key] = p
 	c.bytes += p.Bytes()
 	return p
 }
 
-// Release takes a user away.
+// Release drops a reference to a statement, and removes the statement with the last one. p may be nil.
 func (c *Catalogue) Release(p *Prepared) {
 	if p == nil {
 		return
 	}
-	if p.users--; p.users == 0 {
+	if p.references--; p.references == 0 {
 		delete(c.statements, p.Key)
 		c.bytes -= p.Bytes()
 	}
 }
 
-// StatementNames are one session's statements by the names that it gave them; "" is the unnamed one. What a pipeline asked for
-// counts within the pipeline at once, and for good only when the server says so: an error skips the rest up to Sync.
+// StatementNames maps the names that one session uses to its prepared statements; "" is the unnamed
+// statement. A change that a pipeline requested is visible within the pipeline at once, but is established
+// only when the server confirms it, because an error skips the rest of the pipeline up to Sync.
 type StatementNames struct {
 	catalogue   *Catalogue
 	established map[string]*Prepared
 	requested   []nameChange
 }
 
+// nameChange is a requested change of the statement that a name stands for.
 type nameChange struct {
 	name     string
-	prepared *Prepared // nil: closed
+	prepared *Prepared // nil: the name is closed
 }
 
-// NewStatementNames returns the statements of a session that has none.
+// NewStatementNames returns an empty set of names, whose statements are held in the catalogue.
 func NewStatementNames(c *Catalogue) StatementNames { return StatementNames{catalogue: c} }
 
-// Find is the statement that a name stands for at this point of the pipeline; nil: none.
+// Find returns the statement that a name stands for at this point of the pipeline; nil if there is none.
 func (n *StatementNames) Find(name string) *Prepared {
 	for i := len(n.requested) - 1; i >= 0; i-- {
 		if n.requested[i].name == name {
@@ -123,56 +130,58 @@
 	return n.established[name]
 }
 
-// Request notes a Parse (whose user the caller took) or, with nil, a Close that was sent.
+// Request records a requested Parse or, if p is nil, a requested Close. It takes over the caller's reference
+// to p.
 func (n *StatementNames) Request(name string, p *Prepared) {
 	n.requested = append(n.requested, nameChange{name, p})
 }
 
-// Confirm says that the first that was asked for has come to be.
+// Confirm establishes the first requested change, which the server has confirmed.
 func (n *StatementNames) Confirm() {
 	if len(n.requested) == 0 {
 		return
 	}
-	a := n.requested[0]
+	change := n.requested[0]
 	if n.requested = n.requested[1:]; len(n.requested) == 0 {
 		n.requested = nil
 	}
-	n.catalogue.Release(n.established[a.name])
-	if a.prepared == nil {
-		delete(n.established, a.name)
+	n.catalogue.Release(n.established[change.name])
+	if change.prepared == nil {
+		delete(n.established, change.name)
 		return
 	}
 	if n.established == nil {
 		n.established = map[string]*Prepared{}
 	}
-	n.established[a.name] = a.prepared
+	n.established[change.name] = change.prepared
 }
 
-// DiscardLast says that an error came before the last k that were asked for.
-func (n *StatementNames) DiscardLast(k int) {
-	k = min(k, len(n.requested))
-	for _, a := range n.requested[len(n.requested)-k:] {
-		n.catalogue.Release(a.prepared)
+// DiscardLast discards the last count requested changes, because an error came before them.
+func (n *StatementNames) DiscardLast(count int) {
+	count = min(count, len(n.requested))
+	for _, change := range n.requested[len(n.requested)-count:] {
+		n.catalogue.Release(change.prepared)
 	}
-	if n.requested = n.requested[:len(n.requested)-k]; len(n.requested) == 0 {
+	if n.requested = n.requested[:len(n.requested)-count]; len(n.requested) == 0 {
 		n.requested = nil
 	}
 }
 
-// Deallocate closes a statement, as DEALLOCATE does; all of them with all.
+// Deallocate closes the statement of a name, as DEALLOCATE does; with all, it also closes every statement
+// that has a name.
 func (n *StatementNames) Deallocate(name string, all bool) {
-	for held, p := range n.established {
-		if all && held != "" || held == name {
+	for existing, p := range n.established {
+		if all && existing != "" || existing == name {
 			n.catalogue.Release(p)
-			delete(n.established, held)
+			delete(n.established, existing)
 		}
 	}
 }
 
-// Len is how many statements the session has.
+// Len returns the number of the session's statements.
 func (n *StatementNames) Len() int { return len(n.established) }
 
-// Close releases every statement.
+// Close releases all statements, established and requested.
 func (n *StatementNames) Close() {
 	n.DiscardLast(len(n.requested))
 	for _, p := range n.established {
@@ -181,68 +190,72 @@
 	n.established = nil
 }
 
-// ServerStatements is what is prepared on one server connection, the one used last in front.
+// ServerStatements holds the statements that are prepared on one server connection, in the order of their
+// last use.
 type ServerStatements struct {
 	maxStatements int
 	elements      map[Key]*list.Element
-	order         list.List
-	// Unnamed is what the connection's unnamed statement is.
+	// recentlyUsed holds the keys, the most recently used one first.
+	recentlyUsed list.List
+	// Unnamed is the key of the connection's unnamed statement; it is valid if HasUnnamed is set.
 	Unnamed    Key
 	HasUnnamed bool
 }
 
-// NewServerStatements returns a connection on which nothing is prepared; at most so many statements will be.
-func NewServerStatements(most int) *ServerStatements {
-	return &ServerStatements{maxStatements: max(1, most), elements: map[Key]*list.Element{}}
+// NewServerStatements returns the state of a connection on which nothing is prepared, and which is to hold at
+// most maxStatements.
+func NewServerStatements(maxStatements int) *ServerStatements {
+	return &ServerStatements{maxStatements: max(1, maxStatements), elements: map[Key]*list.Element{}}
 }
 
-// Has reports whether a statement is prepared there, and counts that as its use.
+// Has reports whether a statement is prepared on the connection, and marks it as used most recently.
 func (s *ServerStatements) Has(k Key) bool {
 	e := s.elements[k]
 	if e != nil {
-		s.order.MoveToFront(e)
+		s.recentlyUsed.MoveToFront(e)
 	}
 	return e != nil
 }
 
-// Add notes that a statement is being prepared and names the ones that have to be closed for it: keep holds those that
-// the pipeline under way still needs.
-func (s *ServerStatements) Add(k Key, keep func(Key) bool) (evicted []Key) {
+// Add records that a statement is being prepared. It returns the least recently used statements that have to
+// be closed to stay within the limit. It evicts none for which isNeeded returns true, because the current
+// pipeline still uses it.
+func (s *ServerStatements) Add(k Key, isNeeded func(Key) bool) (evicted []Key) {
 	if s.Has(k) {
 		return nil
 	}
-	for e := s.order.Back(); e != nil && len(s.elements) >= s.maxStatements; {
-		old, before := e.Value.(Key), e.Prev()
-		if keep == nil || !keep(old) {
-			s.Remove(old)
-			evicted = append(evicted, old)
+	for e := s.recentlyUsed.Back(); e != nil && len(s.elements) >= s.maxStatements; {
+		oldKey, previous := e.Value.(Key), e.Prev()
+		if isNeeded == nil || !isNeeded(oldKey) {
+			s.Remove(oldKey)
+			evicted = append(evicted, oldKey)
 		}
-		e = before
+		e = previous
 	}
-	s.elements[k] = s.order.PushFront(k)
+	s.elements[k] = s.recentlyUsed.PushFront(k)
 	return evicted
 }
 
-// Restore notes that a statement is still there: what was to close it was skipped.
+// Restore records that a statement is still prepared, because the message that was to close it was skipped.
 func (s *ServerStatements) Restore(k Key) {
 	if s.elements[k] == nil {
-		s.elements[k] = s.order.PushBack(k)
+		s.elements[k] = s.recentlyUsed.PushBack(k)
 	}
 }
 
-// Remove notes that a statement is not prepared there, or not any more.
+// Remove records that a statement is not, or no longer, prepared on the connection.
 func (s *ServerStatements) Remove(k Key) {
 	if e := s.elements[k]; e != nil {
-		s.order.Remove(e)
+		s.recentlyUsed.Remove(e)
 		delete(s.elements, k)
 	}
 }
 
-// Clear notes that nothing is.
+// Clear records that no statement is prepared on the connection.
 func (s *ServerStatements) Clear() {
 	s.elements, s.HasUnnamed = map[Key]*list.Element{}, false
-	s.order.Init()
+	s.recentlyUsed.Init()
 }
 
-// Len is how many are prepared there.
+// Len returns the number of statements that are prepared on the connection.
 func (s *ServerStatements) Len() int { return len(s.elements) }
--- a/internal/session/tenantqueue.go
+++ b/internal/session/tenantqueue.go
@@ -6,24 +6,25 @@
 	"fmt"
 )
 
-// RejectReason is why a transaction of a tenant is rejected. Its values are the codes that clients and operators get.
+// RejectReason is why a transaction of a tenant is rejected. Its values are the codes that clients and
+// operators see.
 type RejectReason string
 
-// The reasons.
+// The reasons for a rejection.
 const (
-	// RejectPaused: the pause lasts longer than the transaction may wait.
+	// RejectPaused means that the pause lasts longer than the transaction may wait.
 	RejectPaused RejectReason = "tenant_paused"
-	// RejectUndecided: no group is agreed on.
+	// RejectUndecided means that no group is agreed on for the tenant.
 	RejectUndecided RejectReason = "tenant_fenced"
-	// RejectTooMany: as many transactions wait as may.
+	// RejectTooMany means that the maximum number of transactions is already waiting.
 	RejectTooMany RejectReason = "tenant_held_many"
-	// RejectTooManyBytes: what waits takes as much memory as it may.
+	// RejectTooManyBytes means that the waiting transactions would use more memory than allowed.
 	RejectTooManyBytes RejectReason = "tenant_held_bytes"
-	// RejectFenced: the tenant is fenced at its host, and the rules have not changed since.
+	// RejectFenced means that the tenant is fenced at its host, and that the rules have not changed since.
 	RejectFenced RejectReason = "tenant_closed"
 )
 
-// rejectText is what clients and operators are told of a reason.
+// rejectText holds the message and the advice that clients and operators get for a reason.
 type rejectText struct {
 	message string
 	advice  string
@@ -52,87 +53,105 @@
 	},
 }
 
-// TenantError rejects a transaction before any of it was executed.
+// TenantError reports that a transaction was rejected before any part of it was executed.
 type TenantError struct {
 	Database string
 	Reason   RejectReason
 }
 
-// Error names the database and the reason.
+// Error returns a message that names the database and the reason.
 func (e *TenantError) Error() string {
 	return "database " + fmt.Sprintf("%q", e.Database) + rejectTexts[e.Reason].message
 }
 
-// Code is the reason.
+// Code returns the reason as the stable identifier of the error.
 func (e *TenantError) Code() string { return string(e.Reason) }
 
-// Advice says what can be done.
+// Advice tells the user how to resolve the error.
 func (e *TenantError) Advice() string { return rejectTexts[e.Reason].advice }
 
-// TenantQueueLimits bound what may wait for tenants.
+// TenantQueueLimits limits the transactions that may wait for their tenants.
 type TenantQueueLimits struct {
-	PerTenant, Total           int // transactions
-	BytesPerTenant, TotalBytes int // that these have sent so far
-	// MaxPauseMillis is how long after a pause began nothing waits for it any more.
+	// PerTenant and Total limit the number of transactions.
+	PerTenant, Total int
+	// BytesPerTenant and TotalBytes limit the bytes that these transactions have sent so far.
+	BytesPerTenant, TotalBytes int
+	// MaxPauseMillis is how long after the beginning of a pause transactions may wait for its end.
 	MaxPauseMillis float64
 }
 
-// QueuedTransaction is a transaction that waits for its tenant, or would. A session has one at the most.
+// QueuedTransaction is a transaction that is waiting for its tenant, or that may have to. A session has at
+// most one.
 type QueuedTransaction struct {
-	Owner       any     // the session
-	Deadline    float64 // clock milliseconds; then it is rejected
-	Bytes       int     // that it has sent so far
-	MaxInFlight int     // how many released transactions may be on their way at once when it is its turn
-
-	tenant    *Tenant
-	reason    RejectReason // if it is rejected at the end of its wait
+	// Owner is the session.
+	Owner any
+	// Deadline is the time at which the transaction is rejected, in clock milliseconds.
+	Deadline float64
+	// Bytes is the number of bytes that the transaction has sent so far.
+	Bytes int
+	// MaxInFlight limits how many released transactions of the tenant may be in flight for this one to be
+	// released.
+	MaxInFlight int
+
+	tenant *Tenant
+	// reason is why the transaction is rejected if its wait ends.
+	reason RejectReason
+	// waitUntil is the time at which its wait ends, in clock milliseconds.
 	waitUntil float64
-	order     uint64     // of its arrival; 0: it was never queued
-	queue     *list.List // nil: it does not wait
+	// arrivalNumber is its place in the order of arrival; 0: it was never queued.
+	arrivalNumber uint64
+	// queue is the list of its tenant in which it waits; nil: it does not wait.
+	queue     *list.List
 	element   *list.Element
 	heapIndex int
 	released  bool
-	// rejectedByHost is set if a host rejected it before it was executed, since the tenant is fenced there; rejectedUnder
-	// is the assignment then.
+	// rejectedByHost is set if a host rejected the transaction before it was executed, because the tenant is
+	// fenced there. rejectedUnder is the assignment at that time.
 	rejectedByHost bool
 	rejectedUnder  Assignment
 }
 
-// IsQueued reports whether it waits.
+// IsQueued reports whether the transaction is waiting.
 func (q *QueuedTransaction) IsQueued() bool { return q.queue != nil }
 
-// MarkRejected records that a host rejected the transaction before it was executed, since the tenant is fenced there,
-// while the rules said assignment.
+// MarkRejected records that a host rejected the transaction before it was executed, because the tenant is
+// fenced there. assignment is what the rules said at that time.
 func (q *QueuedTransaction) MarkRejected(assignment Assignment) {
 	q.rejectedByHost, q.rejectedUnder = true, assignment
 }
 
-// IsReleased reports whether it was released and has not reached its host.
+// IsReleased reports whether the transaction was released and has not reached its host yet.
 func (q *QueuedTransaction) IsReleased() bool { return q.released }
 
-// Reset makes it ready for another transaction.
-func (q *QueuedTransaction) Reset() { q.order, q.rejectedByHost = 0, false }
+// Reset prepares q for the session's next transaction.
+func (q *QueuedTransaction) Reset() { q.arrivalNumber, q.rejectedByHost = 0, false }
 
-// Tenant is a database that has sessions here, with its transactions that wait.
+// Tenant is a database that has sessions at this pooler, with its waiting transactions.
 type Tenant struct {
 	Database string
-	Rejected uint64 // transactions, for a reason of the tenant's
-	Released uint64 // transactions that had waited
-
-	sessions      int
-	waiting       list.List // of *QueuedTransaction, in the order of arrival
-	awaitingRules list.List // rejected by a host, until the rules change
-	inFlight      int       // released, and not at a host yet
-	bytes         int
+	// Rejected counts the transactions that were rejected with a TenantError.
+	Rejected uint64
+	// Released counts the transactions that were released after they had waited.
+	Released uint64
+
+	sessions int
+	// waiting holds each waiting *QueuedTransaction in the order of arrival.
+	waiting list.List
+	// awaitingRules holds those that a host rejected and that wait until the rules change.
+	awaitingRules list.List
+	// inFlight counts the transactions that were released and have not reached a host yet.
+	inFlight int
+	// bytes is the sum of Bytes over the waiting transactions.
+	bytes int
 }
 
-// Queued is how many of its transactions wait.
+// Queued returns the number of waiting transactions.
 func (t *Tenant) Queued() int { return t.waiting.Len() + t.awaitingRules.Len() }
 
-// InFlight is how many were released and are not at a host yet.
+// InFlight returns the number of transactions that were released and have not reached a host yet.
 func (t *Tenant) InFlight() int { return t.inFlight }
 
-// Sessions is how many sessions it has.
+// Sessions returns the number of the tenant's sessions.
 func (t *Tenant) Sessions() int { return t.sessions }
 
 func (t *Tenant) reject(reason RejectReason) *TenantError {
@@ -140,18 +159,20 @@
 	return &TenantError{Database: t.Database, Reason: reason}
 }
 
-// Tenants are the databases that have sessions here. It is not safe for concurrent use: one event loop owns it.
+// Tenants holds the databases that have sessions at this pooler. It is not safe for concurrent use: one event
+// loop owns it.
 type Tenants struct {
 	byDatabase map[string]*Tenant
-	deadlines  deadlineHeap // of all that wait
-	bytes      int
-	lastOrder  uint64
+	// deadlines holds the waiting transactions of all tenants.
+	deadlines         deadlineHeap
+	bytes             int
+	lastArrivalNumber uint64
 }
 
-// NewTenants returns an empty set.
+// NewTenants returns an empty set of tenants.
 func NewTenants() *Tenants { return &Tenants{byDatabase: map[string]*Tenant{}} }
 
-// AddSession counts a session of a database.
+// AddSession counts a new session of a database and returns its tenant.
 func (ts *Tenants) AddSession(database string) *Tenant {
 	tenant := ts.byDatabase[database]
 	if tenant == nil {
@@ -162,7 +183,7 @@
 	return tenant
 }
 
-// RemoveSession forgets a tenant with its last session.
+// RemoveSession counts the end of a session, and removes the tenant with its last session.
 func (ts *Tenants) RemoveSession(tenant *Tenant) {
 	tenant.sessions--
 	if tenant.sessions == 0 {
@@ -170,7 +191,7 @@
 	}
 }
 
-// All returns the tenants, in no order.
+// All returns the tenants in no particular order.
 func (ts *Tenants) All() (out []*Tenant) {
 	for _, tenant := range ts.byDatabase {
 		out = append(out, tenant)
@@ -178,19 +199,22 @@
 	return out
 }
 
-// Queued is how many transactions of all tenants wait.
+// Queued returns the number of waiting transactions of all tenants.
 func (ts *Tenants) Queued() int { return len(ts.deadlines) }
 
-// Admit decides on a transaction under the present assignment: it goes on, is queued, or is rejected with an error. One
-// that waited before keeps its place before all that arrived after it.
+// Admit decides on a transaction under the current assignment: it proceeds, is queued, or is rejected with an
+// error. A transaction that has waited before keeps its place ahead of all that arrived after it.
 func (ts *Tenants) Admit(now float64, tenant *Tenant, assignment Assignment, q *QueuedTransaction, limits TenantQueueLimits) (queued bool, err *TenantError) {
 	rulesUnchanged := q.rejectedByHost && q.rejectedUnder.Equal(assignment)
 	switch {
-	case assignment.Paused: // a group that changes is undecided while it is paused: that is no reason to reject
+	// While the group of a paused tenant changes, it is undecided. That is no reason to reject the
+	// transaction.
+	case assignment.Paused:
 	case assignment.Undecided:
 		return false, tenant.reject(RejectUndecided)
 	case rulesUnchanged:
-	case tenant.waiting.Len() == 0 || q.released: // one that was released does not wait for those behind it
+	// A transaction that was released does not wait for those that arrived after it.
+	case tenant.waiting.Len() == 0 || q.released:
 		return false, nil
 	}
 	q.reason, q.waitUntil = RejectPaused, q.Deadline
@@ -199,25 +223,26 @@
 	} else if rulesUnchanged {
 		q.reason = RejectFenced
 	}
-	if reason := ts.exceeded(now, tenant, q, limits); reason != "" {
+	if reason := ts.exceededLimit(now, tenant, q, limits); reason != "" {
 		return false, tenant.reject(reason)
 	}
 	ts.Complete(tenant, q)
-	q.rejectedByHost = q.rejectedByHost && !assignment.Paused // the rules have changed since
+	q.rejectedByHost = q.rejectedByHost && !assignment.Paused // if paused, the rules have changed since
 	q.tenant = tenant
 	tenant.bytes += q.Bytes
 	ts.bytes += q.Bytes
 	if rulesUnchanged && !assignment.Paused {
-		ts.insert(q, &tenant.awaitingRules)
+		ts.enqueue(q, &tenant.awaitingRules)
 	} else {
-		ts.insert(q, &tenant.waiting)
+		ts.enqueue(q, &tenant.waiting)
 	}
 	heap.Push(&ts.deadlines, q)
 	return true, nil
 }
 
-// exceeded returns which limit keeps a transaction from waiting; empty: none.
-func (ts *Tenants) exceeded(now float64, tenant *Tenant, q *QueuedTransaction, limits TenantQueueLimits) RejectReason {
+// exceededLimit returns why a transaction may not wait: its time is over, or a limit is reached. It returns
+// "" if it may.
+func (ts *Tenants) exceededLimit(now float64, tenant *Tenant, q *QueuedTransaction, limits TenantQueueLimits) RejectReason {
 	switch {
 	case now >= q.waitUntil:
 		return q.reason
@@ -229,17 +254,18 @@
 	return ""
 }
 
-// insert puts a transaction behind all that arrived before it.
-func (ts *Tenants) insert(q *QueuedTransaction, queue *list.List) {
+// enqueue inserts a transaction after all that arrived before it.
+func (ts *Tenants) enqueue(q *QueuedTransaction, queue *list.List) {
 	q.queue = queue
-	if q.order == 0 {
-		ts.lastOrder++
-		q.order = ts.lastOrder
+	if q.arrivalNumber == 0 {
+		ts.lastArrivalNumber++
+		q.arrivalNumber = ts.lastArrivalNumber
 		q.element = queue.PushBack(q)
 		return
 	}
-	for e := queue.Front(); e != nil; e = e.Next() { // it is among those that arrived first
-		if e.Value.(*QueuedTransaction).order > q.order {
+	// The scan is short, because the transaction is one of the first that arrived.
+	for e := queue.Front(); e != nil; e = e.Next() {
+		if e.Value.(*QueuedTransaction).arrivalNumber > q.arrivalNumber {
 			q.element = queue.InsertBefore(q, e)
 			return
 		}
@@ -247,8 +273,8 @@
 	q.element = queue.PushBack(q)
 }
 
-// Grow records that a transaction that waits sent more. It returns false if what waits exceeds its limits, and no more of
-// it should be read.
+// Grow records how many bytes a waiting transaction has sent. It returns false if the waiting transactions
+// exceed their limits, and the caller should read no more from the session.
 func (ts *Tenants) Grow(q *QueuedTransaction, bytes int, limits TenantQueueLimits) bool {
 	if !q.IsQueued() {
 		return true
@@ -260,13 +286,13 @@
 	return q.tenant.bytes <= limits.BytesPerTenant && ts.bytes <= limits.TotalBytes
 }
 
-// Remove takes a transaction out, wherever it is: its client is gone, or it was rejected.
+// Remove removes a transaction, waiting or released, because its client is gone or because it was rejected.
 func (ts *Tenants) Remove(tenant *Tenant, q *QueuedTransaction) {
 	ts.Complete(tenant, q)
-	ts.remove(q)
+	ts.dequeue(q)
 }
 
-func (ts *Tenants) remove(q *QueuedTransaction) {
+func (ts *Tenants) dequeue(q *QueuedTransaction) {
 	if !q.IsQueued() {
 		return
 	}
@@ -277,9 +303,9 @@
 	heap.Remove(&ts.deadlines, q.heapIndex)
 }
 
-// Next releases the transaction of a tenant that is to go on now, which is then to be admitted again; nil: none is. Its
-// MaxInFlight bounds how many are on their way at once, so that a host that has not served this database yet is not
-// reached by all of them.
+// Next releases the next transaction of a tenant, if there is one that may proceed now; the caller then has
+// to admit it again. Its MaxInFlight limits how many are in flight at once, so that a host that has not
+// served this database yet does not receive all of them together.
 func (ts *Tenants) Next(tenant *Tenant, assignment Assignment) *QueuedTransaction {
 	ts.requeueChanged(tenant, assignment)
 	front := tenant.waiting.Front()
@@ -290,14 +316,15 @@
 	if !assignment.Undecided && tenant.inFlight >= max(1, q.MaxInFlight) {
 		return nil
 	}
-	ts.remove(q)
+	ts.dequeue(q)
 	q.released = true
 	tenant.inFlight++
 	tenant.Released++
 	return q
 }
 
-// requeueChanged has those that a host rejected wait with the others once the rules have changed.
+// requeueChanged moves the transactions that a host rejected to the other waiting ones if the rules have
+// changed since.
 func (ts *Tenants) requeueChanged(tenant *Tenant, assignment Assignment) {
 	var next *list.Element
 	for e := tenant.awaitingRules.Front(); e != nil; e = next {
@@ -308,11 +335,12 @@
 		}
 		q.queue.Remove(q.element)
 		q.rejectedByHost = false
-		ts.insert(q, &tenant.waiting)
+		ts.enqueue(q, &tenant.waiting)
 	}
 }
 
-// Complete records that a released transaction reached its host, or ended. more is set if others wait behind it.
+// Complete records that a released transaction reached its host, or ended. more is set if others are still
+// waiting.
 func (ts *Tenants) Complete(tenant *Tenant, q *QueuedTransaction) (more bool) {
 	if !q.released {
 		return false
@@ -322,17 +350,18 @@
 	return tenant.waiting.Len() > 0
 }
 
-// NextExpired takes out a transaction whose wait is over, with why it is rejected; nil: there is none.
+// NextExpired removes and returns a transaction whose wait is over, with the error to reject it; nil if there
+// is none.
 func (ts *Tenants) NextExpired(now float64) (*QueuedTransaction, *TenantError) {
 	if len(ts.deadlines) == 0 || ts.deadlines[0].waitUntil > now {
 		return nil, nil
 	}
 	q := ts.deadlines[0]
-	ts.remove(q)
+	ts.dequeue(q)
 	return q, q.tenant.reject(q.reason)
 }
 
-// NextDeadline is when the next wait is over; ok is false if nothing waits.
+// NextDeadline returns the time at which the next wait ends; ok is false if no transaction is waiting.
 func (ts *Tenants) NextDeadline() (at float64, ok bool) {
 	if len(ts.deadlines) == 0 {
 		return 0, false
@@ -340,7 +369,7 @@
 	return ts.deadlines[0].waitUntil, true
 }
 
-// deadlineHeap is a container/heap of all that wait, by the end of their wait.
+// deadlineHeap is a container/heap of the waiting transactions, ordered by the end of their wait.
 type deadlineHeap []*QueuedTransaction
 
 func (h deadlineHeap) Len() int           { return len(h) }
--- a/internal/session/tenantqueue_test.go
+++ b/internal/session/tenantqueue_test.go
@@ -11,10 +11,10 @@
 func TestGroupFor(t *testing.T) {
 	d := Defaults{ReadOnly: "r", ReadWrite: "w", Group: 1}
 	for _, c := range []struct {
-		text string
-		home Assignment
-		want uint64
-		bad  bool
+		text       string
+		assignment Assignment
+		want       uint64
+		wantError  bool
 	}{
 		{"SELECT 1", Assignment{}, 1, false},
 		{"/* cluster=5 */ SELECT 1", Assignment{}, 5, false},
@@ -26,12 +26,12 @@
 		q := Scan(c.text)
 		r, err := d.Route(&q, false)
 		require.NoError(t, err)
-		group, err := c.home.GroupFor("orders", &r)
+		group, err := c.assignment.GroupFor("orders", &r)
 		require.Equal(t, c.want, group, c.text)
-		var he *GroupMismatchError
-		if require.Equal(t, c.bad, errors.As(err, &he), c.text); c.bad {
-			require.Equal(t, GroupMismatchError{"orders", 2, r.Group}, *he)
-			require.Equal(t, "home_contradicted", he.Code())
+		var mismatch *GroupMismatchError
+		if require.Equal(t, c.wantError, errors.As(err, &mismatch), c.text); c.wantError {
+			require.Equal(t, GroupMismatchError{"orders", 2, r.Group}, *mismatch)
+			require.Equal(t, "home_contradicted", mismatch.Code())
 		}
 	}
 }
@@ -47,16 +47,16 @@
 	}
 }
 
-var room = TenantQueueLimits{PerTenant: 10, Total: 20, BytesPerTenant: 1000, TotalBytes: 1500, MaxPauseMillis: 1000}
+var testLimits = TenantQueueLimits{PerTenant: 10, Total: 20, BytesPerTenant: 1000, TotalBytes: 1500, MaxPauseMillis: 1000}
 
 func TestAdmitWithinLimits(t *testing.T) {
 	paused, open := Assignment{HasGroup: true, Group: 1, Paused: true, PausedSince: 100}, Assignment{HasGroup: true, Group: 2}
 	for name, c := range map[string]struct {
-		now   float64
-		home  Assignment
-		first []QueuedTransaction
-		x     QueuedTransaction
-		want  RejectReason // "": it is held; "on": it goes on
+		now           float64
+		assignment    Assignment
+		alreadyQueued []QueuedTransaction
+		transaction   QueuedTransaction
+		want          RejectReason // "": it is queued; "on": it proceeds
 	}{
 		"nothing is said":             {150, Assignment{}, nil, QueuedTransaction{Deadline: 900}, "on"},
 		"open":                        {150, open, nil, QueuedTransaction{Deadline: 900}, "on"},
@@ -73,30 +73,30 @@
 		"turned away, no patience":    {900, open, nil, QueuedTransaction{Deadline: 900, rejectedByHost: true, rejectedUnder: open}, RejectFenced},
 	} {
 		ts := NewTenants()
-		ten := ts.AddSession("orders")
-		for i := range c.first {
-			c.first[i].Deadline = 5000
-			held, err := ts.Admit(120, ten, paused, &c.first[i], room)
-			require.True(t, held, err)
+		tenant := ts.AddSession("orders")
+		for i := range c.alreadyQueued {
+			c.alreadyQueued[i].Deadline = 5000
+			queued, err := ts.Admit(120, tenant, paused, &c.alreadyQueued[i], testLimits)
+			require.True(t, queued, err)
 		}
-		held, err := ts.Admit(c.now, ten, c.home, &c.x, room)
-		require.Equal(t, c.want == "", held, name)
+		queued, err := ts.Admit(c.now, tenant, c.assignment, &c.transaction, testLimits)
+		require.Equal(t, c.want == "", queued, name)
 		if c.want != "" && c.want != "on" {
 			require.NotNil(t, err, name)
 			require.Equal(t, c.want, err.Reason, name)
 			require.NotEmpty(t, err.Error()+err.Advice())
-			require.EqualValues(t, 1, ten.Rejected)
+			require.EqualValues(t, 1, tenant.Rejected)
 		} else {
 			require.Nil(t, err, name)
 		}
 	}
-	// Over all databases.
+	// The total limit applies across all databases.
 	ts := NewTenants()
 	for i := range 3 {
-		ten := ts.AddSession(string(rune('a' + i)))
+		tenant := ts.AddSession(string(rune('a' + i)))
 		for range 10 {
-			held, err := ts.Admit(120, ten, paused, &QueuedTransaction{Deadline: 900}, room)
-			require.Equal(t, i < 2, held)
+			queued, err := ts.Admit(120, tenant, paused, &QueuedTransaction{Deadline: 900}, testLimits)
+			require.Equal(t, i < 2, queued)
 			if i == 2 {
 				require.Equal(t, RejectTooMany, err.Reason)
 			}
@@ -104,128 +104,129 @@
 	}
 }
 
-// Guards against a pause that ends: those who waited go in the order in which they came, as many at once as may, and
-// nobody who comes then overtakes them.
+// Guards against reordering at the end of a pause: the waiting transactions are released in the order of
+// their arrival, at most MaxInFlight at once, and a transaction that arrives then does not overtake them.
 func TestTenantsReleaseInOrder(t *testing.T) {
 	paused, open := Assignment{Paused: true, HasGroup: true, Group: 1}, Assignment{HasGroup: true, Group: 2}
 	ts := NewTenants()
-	ten := ts.AddSession("orders")
-	xs := make([]QueuedTransaction, 6)
-	for i := range xs {
-		xs[i].Deadline, xs[i].MaxInFlight = 500, 2
-		h := paused
+	tenant := ts.AddSession("orders")
+	transactions := make([]QueuedTransaction, 6)
+	for i := range transactions {
+		transactions[i].Deadline, transactions[i].MaxInFlight = 500, 2
+		assignment := paused
 		if i == 5 {
-			h = open
+			assignment = open
 		}
-		held, _ := ts.Admit(10, ten, h, &xs[i], room)
-		require.True(t, held, i)
+		queued, _ := ts.Admit(10, tenant, assignment, &transactions[i], testLimits)
+		require.True(t, queued, i)
 	}
-	require.Nil(t, ts.Next(ten, paused))
-	require.Same(t, &xs[0], ts.Next(ten, open))
-	require.Same(t, &xs[1], ts.Next(ten, open))
-	require.Nil(t, ts.Next(ten, open), "two are on their way")
-	held, err := ts.Admit(11, ten, open, &xs[0], room)
-	require.False(t, held || err != nil, "who is on the way does not wait for those behind")
-	held, _ = ts.Admit(11, ten, paused, &xs[1], room) // paused again: it keeps its place
-	require.True(t, held)
-	require.True(t, ts.Complete(ten, &xs[0]))
+	require.Nil(t, ts.Next(tenant, paused))
+	require.Same(t, &transactions[0], ts.Next(tenant, open))
+	require.Same(t, &transactions[1], ts.Next(tenant, open))
+	require.Nil(t, ts.Next(tenant, open), "two are on their way")
+	queued, err := ts.Admit(11, tenant, open, &transactions[0], testLimits)
+	require.False(t, queued || err != nil, "who is on the way does not wait for those behind")
+	// Paused again: the transaction keeps its place.
+	queued, _ = ts.Admit(11, tenant, paused, &transactions[1], testLimits)
+	require.True(t, queued)
+	require.True(t, ts.Complete(tenant, &transactions[0]))
 	for _, want := range []int{1, 2} {
-		require.Same(t, &xs[want], ts.Next(ten, open))
+		require.Same(t, &transactions[want], ts.Next(tenant, open))
 	}
-	ts.Remove(ten, &xs[3])
-	ts.Complete(ten, &xs[1])
-	require.Same(t, &xs[4], ts.Next(ten, open))
-	// Fenced: all go, to be refused.
-	require.Same(t, &xs[5], ts.Next(ten, Assignment{Undecided: true}))
-	require.Zero(t, ten.Queued())
+	ts.Remove(tenant, &transactions[3])
+	ts.Complete(tenant, &transactions[1])
+	require.Same(t, &transactions[4], ts.Next(tenant, open))
+	// If no group is agreed on, all are released, and are rejected when they are admitted again.
+	require.Same(t, &transactions[5], ts.Next(tenant, Assignment{Undecided: true}))
+	require.Zero(t, tenant.Queued())
 }
 
 func TestTenantsProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := TenantQueueLimits{PerTenant: 4, Total: 6, BytesPerTenant: 50, TotalBytes: 80, MaxPauseMillis: 60}
+		limits := TenantQueueLimits{PerTenant: 4, Total: 6, BytesPerTenant: 50, TotalBytes: 80, MaxPauseMillis: 60}
 		ts, now := NewTenants(), 0.0
-		tens := []*Tenant{ts.AddSession("a"), ts.AddSession("b")}
-		homes := []Assignment{{}, {}}
-		xs := make([]QueuedTransaction, 12)
-		out := map[*QueuedTransaction]float64{} // until when those may wait that are held
+		tenants := []*Tenant{ts.AddSession("a"), ts.AddSession("b")}
+		assignments := []Assignment{{}, {}}
+		transactions := make([]QueuedTransaction, 12)
+		deadlines := map[*QueuedTransaction]float64{} // until when each queued transaction may wait
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			now += float64(rapid.IntRange(0, 9).Draw(t, "time"))
-			i := rapid.IntRange(0, len(xs)-1).Draw(t, "x")
-			x, at := &xs[i], i%2
-			ten := tens[at]
+			i := rapid.IntRange(0, len(transactions)-1).Draw(t, "x")
+			transaction, tenantIndex := &transactions[i], i%2
+			tenant := tenants[tenantIndex]
 			switch rapid.IntRange(0, 7).Draw(t, "what") {
 			case 0, 1, 2:
-				if x.IsQueued() {
+				if transaction.IsQueued() {
 					continue
 				}
-				if !x.released {
-					x.Reset()
-					x.Deadline, x.Bytes, x.MaxInFlight = now+float64(rapid.IntRange(0, 80).Draw(t, "patience")), rapid.IntRange(0, 30).Draw(t, "bytes"), 2
+				if !transaction.released {
+					transaction.Reset()
+					transaction.Deadline, transaction.Bytes, transaction.MaxInFlight = now+float64(rapid.IntRange(0, 80).Draw(t, "patience")), rapid.IntRange(0, 30).Draw(t, "bytes"), 2
 					if rapid.IntRange(0, 4).Draw(t, "turned") == 0 {
-						x.MarkRejected(homes[at])
+						transaction.MarkRejected(assignments[tenantIndex])
 					}
 				}
-				held, err := ts.Admit(now, ten, homes[at], x, b)
-				require.Equal(t, held, x.IsQueued())
-				if held {
+				queued, err := ts.Admit(now, tenant, assignments[tenantIndex], transaction, limits)
+				require.Equal(t, queued, transaction.IsQueued())
+				if queued {
 					require.Nil(t, err)
-					require.True(t, homes[at].Paused || ten.waiting.Len() > 0 || x.rejectedByHost)
-					out[x] = x.Deadline
-					if homes[at].Paused {
-						out[x] = min(out[x], homes[at].PausedSince+b.MaxPauseMillis)
+					require.True(t, assignments[tenantIndex].Paused || tenant.waiting.Len() > 0 || transaction.rejectedByHost)
+					deadlines[transaction] = transaction.Deadline
+					if assignments[tenantIndex].Paused {
+						deadlines[transaction] = min(deadlines[transaction], assignments[tenantIndex].PausedSince+limits.MaxPauseMillis)
 					}
 				} else if err == nil {
-					require.False(t, homes[at].Paused || homes[at].Undecided)
+					require.False(t, assignments[tenantIndex].Paused || assignments[tenantIndex].Undecided)
 				} else {
-					ts.Remove(ten, x)
+					ts.Remove(tenant, transaction)
 				}
 			case 3:
-				ts.Remove(ten, x)
-				delete(out, x)
+				ts.Remove(tenant, transaction)
+				delete(deadlines, transaction)
 			case 4:
-				was := homes[at]
-				homes[at] = Assignment{Group: uint64(rapid.IntRange(1, 2).Draw(t, "group")), HasGroup: true, Paused: rapid.Bool().Draw(t, "paused"), Undecided: rapid.IntRange(0, 4).Draw(t, "fenced") == 0, PausedSince: now}
-				if was.Paused && homes[at].Paused {
-					homes[at].PausedSince = was.PausedSince
+				previous := assignments[tenantIndex]
+				assignments[tenantIndex] = Assignment{Group: uint64(rapid.IntRange(1, 2).Draw(t, "group")), HasGroup: true, Paused: rapid.Bool().Draw(t, "paused"), Undecided: rapid.IntRange(0, 4).Draw(t, "fenced") == 0, PausedSince: now}
+				if previous.Paused && assignments[tenantIndex].Paused {
+					assignments[tenantIndex].PausedSince = previous.PausedSince
 				}
 			case 5:
-				if x := ts.Next(ten, homes[at]); x != nil {
-					require.False(t, homes[at].Paused)
-					require.Contains(t, out, x)
-					require.True(t, homes[at].Undecided || ten.inFlight <= 2)
-					for e := ten.waiting.Front(); e != nil; e = e.Next() {
-						require.Greater(t, e.Value.(*QueuedTransaction).order, x.order)
+				if released := ts.Next(tenant, assignments[tenantIndex]); released != nil {
+					require.False(t, assignments[tenantIndex].Paused)
+					require.Contains(t, deadlines, released)
+					require.True(t, assignments[tenantIndex].Undecided || tenant.inFlight <= 2)
+					for e := tenant.waiting.Front(); e != nil; e = e.Next() {
+						require.Greater(t, e.Value.(*QueuedTransaction).arrivalNumber, released.arrivalNumber)
 					}
-					delete(out, x)
+					delete(deadlines, released)
 				}
 			case 6:
-				ts.Complete(ten, x)
+				ts.Complete(tenant, transaction)
 			case 7:
-				ts.Grow(x, x.Bytes+rapid.IntRange(0, 5).Draw(t, "more"), b)
+				ts.Grow(transaction, transaction.Bytes+rapid.IntRange(0, 5).Draw(t, "more"), limits)
 			}
-			for x, err := ts.NextExpired(now); x != nil; x, err = ts.NextExpired(now) {
-				require.LessOrEqual(t, out[x], now)
+			for expired, err := ts.NextExpired(now); expired != nil; expired, err = ts.NextExpired(now) {
+				require.LessOrEqual(t, deadlines[expired], now)
 				require.NotNil(t, err)
-				delete(out, x)
+				delete(deadlines, expired)
 			}
-			held, bytes := 0, 0
-			for x, until := range out {
-				require.True(t, x.IsQueued())
-				require.Greater(t, until, now)
-				held, bytes = held+1, bytes+x.Bytes
+			queued, bytes := 0, 0
+			for transaction, deadline := range deadlines {
+				require.True(t, transaction.IsQueued())
+				require.Greater(t, deadline, now)
+				queued, bytes = queued+1, bytes+transaction.Bytes
 			}
-			require.Equal(t, held, ts.Queued())
+			require.Equal(t, queued, ts.Queued())
 			require.Equal(t, bytes, ts.bytes)
-			require.LessOrEqual(t, held, b.Total)
-			flying := 0
-			for i := range xs {
-				if xs[i].released {
-					flying++
+			require.LessOrEqual(t, queued, limits.Total)
+			inFlight := 0
+			for i := range transactions {
+				if transactions[i].released {
+					inFlight++
 				}
 			}
-			require.Equal(t, flying, tens[0].inFlight+tens[1].inFlight)
-			for _, ten := range tens {
-				require.LessOrEqual(t, ten.Queued(), b.PerTenant)
+			require.Equal(t, inFlight, tenants[0].inFlight+tenants[1].inFlight)
+			for _, tenant := range tenants {
+				require.LessOrEqual(t, tenant.Queued(), limits.PerTenant)
 			}
 		}
 	})
