--- a/internal/warmstate/codec.go
+++ b/internal/warmstate/codec.go
@@ -11,10 +11,11 @@
 
 var json = jsoniter.ConfigCompatibleWithStandardLibrary
 
-// FormatVersion is the version of the file that is written. Older ones are read; a newer one is left alone.
+// FormatVersion is the version of the file format that is written. Files of older versions can be read; a
+// file of a newer version is left unchanged.
 const FormatVersion = 2
 
-// The limits of a file.
+// The limits of a file: its size in bytes, its hosts, and the sections of its directory.
 const (
 	MaxFileBytes = 16 << 20
 	maxHosts     = 20000
@@ -27,8 +28,8 @@
 //	the sections, each JSON
 //	the directory again, from magic to its hash, then its length(4) and trailer(8)
 //
-// Each section has its own checksum, so that a damaged one costs only itself. The directory is there twice, so that a
-// damaged one does not cost everything.
+// Each section has its own checksum, so that damage to one section does not affect the others. The directory
+// is stored twice, so that damage to one copy does not make the whole file unreadable.
 const (
 	magic   = "ASHLEARN"
 	trailer = "NRAELHSA"
@@ -41,7 +42,7 @@
 	footerBytes   = 4 + len(trailer)
 )
 
-// directoryName is how Decode names the first directory among what is lost.
+// directoryName is the name under which Decode reports that the first directory is lost.
 const directoryName = "directory"
 
 // The tags of the sections.
@@ -55,11 +56,15 @@
 
 // section is one part of a file.
 type section struct {
-	tag     string
-	since   uint16                 // the version that introduced it
-	value   func(s *Snapshot) any  // a pointer to what it holds
-	present func(s *Snapshot) bool // whether there is something to write
-	discard func(s *Snapshot)      // empties it
+	tag string
+	// sinceVersion is the format version that introduced the section.
+	sinceVersion uint16
+	// value returns a pointer to the part of the snapshot that the section holds.
+	value func(s *Snapshot) any
+	// present reports whether the snapshot has anything to write for the section.
+	present func(s *Snapshot) bool
+	// discard clears that part of the snapshot.
+	discard func(s *Snapshot)
 }
 
 func always(*Snapshot) bool { return true }
@@ -67,38 +72,38 @@
 // sections lists the sections in the order in which they are written.
 var sections = []section{
 	{
-		tag: tagHeader, since: 1,
+		tag: tagHeader, sinceVersion: 1,
 		value:   func(s *Snapshot) any { return &s.Header },
 		present: always,
 		discard: func(s *Snapshot) { s.Header = Header{} },
 	},
 	{
-		tag: tagHosts, since: 1,
+		tag: tagHosts, sinceVersion: 1,
 		value:   func(s *Snapshot) any { return &s.Hosts },
 		present: always,
 		discard: func(s *Snapshot) { s.Hosts = nil },
 	},
 	{
-		tag: tagClasses, since: 1,
+		tag: tagClasses, sinceVersion: 1,
 		value:   func(s *Snapshot) any { return &s.Classes },
 		present: always,
 		discard: func(s *Snapshot) { s.Classes = nil },
 	},
 	{
-		tag: tagIdleResets, since: 2,
+		tag: tagIdleResets, sinceVersion: 2,
 		value:   func(s *Snapshot) any { return &s.IdleResets },
 		present: func(s *Snapshot) bool { return s.IdleResets != nil },
 		discard: func(s *Snapshot) { s.IdleResets = nil },
 	},
 	{
-		tag: tagEndpoints, since: 2,
+		tag: tagEndpoints, sinceVersion: 2,
 		value:   func(s *Snapshot) any { return &s.Endpoints },
 		present: func(s *Snapshot) bool { return s.Endpoints != nil },
 		discard: func(s *Snapshot) { s.Endpoints = nil },
 	},
 }
 
-// entry locates a section. It is 20 bytes of the directory.
+// entry locates a section in the file. It takes 20 bytes in the directory.
 type entry struct {
 	tag      string
 	offset   uint32
@@ -122,7 +127,7 @@
 	}
 }
 
-// content returns the bytes that an entry locates in a file; false if they are not there or are damaged.
+// content returns the bytes of a section in a file; false if they are missing or do not match the checksum.
 func (e entry) content(file []byte) ([]byte, bool) {
 	end := uint64(e.offset) + uint64(e.length)
 	if end > uint64(len(file)) {
@@ -132,7 +137,7 @@
 	return b, xxhash.Sum64(b) == e.checksum
 }
 
-// Encode returns a snapshot as a file. One that exceeds a limit is a *LimitError.
+// Encode encodes a snapshot as a file. It returns a *LimitError if the snapshot exceeds a limit.
 func Encode(s *Snapshot) ([]byte, error) { return encode(s, FormatVersion) }
 
 func encode(s *Snapshot, version uint16) ([]byte, error) {
@@ -142,7 +147,7 @@
 	var tags []string
 	var bodies [][]byte
 	for _, section := range sections {
-		if version < section.since || !section.present(s) {
+		if version < section.sinceVersion || !section.present(s) {
 			continue
 		}
 		body, err := json.Marshal(section.value(s))
@@ -183,7 +188,7 @@
 	count := int(binary.BigEndian.Uint16(b[countOffset:]))
 	end := headBytes + entryBytes*count
 	if count > maxSections || len(b) < end+checksumBytes || xxhash.Sum64(b[:end]) != binary.BigEndian.Uint64(b[end:]) {
-		return version, nil, &FormatError{Reason: "its directory does not fit its checksum", Err: ErrMalformed}
+		return version, nil, &FormatError{Reason: "its directory does not match its checksum", Err: ErrMalformed}
 	}
 	for i := range count {
 		entries = append(entries, decodeEntry(b[headBytes+entryBytes*i:]))
@@ -204,12 +209,12 @@
 	return decodeDirectory(file[end-length : end])
 }
 
-// Decode reads a file of this version or an older one. lost names the sections that cannot be read; they cost only
-// themselves, but without its header nobody can say whose file it is or how old. The error is a *FormatError, which
-// wraps ErrMalformed or ErrNewerVersion.
+// Decode decodes a file of this version or an older one. lost names the sections that cannot be read; the
+// others are still returned. A file whose header cannot be read is malformed, because its owner and its age
+// are unknown. The error is a *FormatError, which wraps ErrMalformed or ErrNewerVersion.
 func Decode(file []byte) (s *Snapshot, lost []string, err error) {
 	if len(file) > MaxFileBytes {
-		return nil, nil, &FormatError{Reason: fmt.Sprintf("%d bytes are more than any file has", len(file)), Err: ErrMalformed}
+		return nil, nil, &FormatError{Reason: fmt.Sprintf("%d bytes exceed the maximum size of a file", len(file)), Err: ErrMalformed}
 	}
 	version, entries, err := decodeDirectory(file)
 	if err != nil {
@@ -225,8 +230,8 @@
 	}
 	s, lostSections := decodeSections(file, entries)
 	lost = append(lost, lostSections...)
-	if !(s.Header.WrittenAt > 0) { // also of a header that is missing or lost
-		return nil, lost, &FormatError{Reason: "its head can't be read", Err: ErrMalformed}
+	if !(s.Header.WrittenAt > 0) { // the header may also be missing or lost
+		return nil, lost, &FormatError{Reason: "its header cannot be read", Err: ErrMalformed}
 	}
 	migrate(s, version)
 	removeInvalid(s)
@@ -243,7 +248,7 @@
 	return nil
 }
 
-// decodeSections reads the sections that are known; of several with one tag, the first counts.
+// decodeSections decodes the known sections. Of several sections with the same tag it uses the first.
 func decodeSections(file []byte, entries []entry) (s *Snapshot, lost []string) {
 	s = &Snapshot{}
 	decoded := map[string]bool{}
--- a/internal/warmstate/doc.go
+++ b/internal/warmstate/doc.go
@@ -1,12 +1,13 @@
-// Package warmstate persists what a running pooler has observed, so that the next process starts warm: in-flight limits,
-// failures, replication lag, roles, usual latencies, and the last endpoint list.
+// Package warmstate persists what a running pooler has observed, so that the next process starts warm:
+// in-flight limits, failures, replication lag, roles, usual latencies, and the last endpoint list.
 //
-// Encode and Decode are the file format, Store is the directory that holds the file, and ApplyAge decides what a fact of
-// a given age still counts for. Encoding and ageing do no I/O and take the time as an argument.
+// Encode and Decode implement the file format, Store manages the directory that holds the file, and ApplyAge
+// reduces the weight of each fact according to its age. Encoding and ageing do no I/O, and ageing takes the
+// time as an argument.
 //
 // Invariants:
-//   - A crash at any moment leaves the old file or the new one complete; each section has a checksum of its own, so that
-//     a damaged one costs only itself.
+//   - After a crash at any moment the old file or the new one is there and complete. Each section has its own
+//     checksum, so that damage to one section does not affect the others.
 //   - A restored fact never makes routing less conservative without new proof.
 //   - Client data, sessions, keys and statements are never persisted.
 package warmstate
--- a/internal/warmstate/errors_test.go
+++ b/internal/warmstate/errors_test.go
@@ -54,7 +54,7 @@
 	d := newFaultyFS()
 	s := NewUnlockedStore(d, "f")
 	d.live[s.Path()] = []byte("no such file")
-	d.stop, d.fail = 1, true
+	d.failAt, d.failOnce = 1, true
 	_, _, err := s.Load()
 	var load *LoadError
 	require.ErrorAs(t, err, &load)
--- a/internal/warmstate/golden_test.go
+++ b/internal/warmstate/golden_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// A file of the present version keeps its bytes.
+// A file of the current version keeps its exact bytes.
 func TestGoldenFile(t *testing.T) {
 	b, err := Encode(everyFact())
 	require.NoError(t, err)
@@ -53,7 +53,8 @@
 	require.Equal(t, stored, again)
 }
 
-// Files of every version are read as they always were, shown as JSON with the keys that operators know.
+// Files of every version decode to the stored snapshots, which are compared as JSON with the keys that
+// operators see.
 func TestGoldenDecode(t *testing.T) {
 	for _, name := range []string{"version1", "version2"} {
 		b, err := os.ReadFile(filepath.Join("testdata", name+".ash"))
@@ -72,7 +73,7 @@
 	}
 }
 
-// What operators see of a fact keeps its keys.
+// The JSON keys of a fact, which operators see, stay the same.
 func TestGoldenFactAge(t *testing.T) {
 	b, err := json.Marshal([]FactAge{{Fact: "s-1 limit", Age: 12.5, Weight: 0.25, Reason: "too old"}})
 	require.NoError(t, err)
@@ -84,7 +85,7 @@
 	require.Equal(t, string(stored), string(again))
 }
 
-// The names of the files in a state folder stay.
+// The names of the files in a state directory stay the same.
 func TestGoldenFileNames(t *testing.T) {
 	golden(t, "names.txt", []byte(fileName+"\n"+lockName+"\n"+quarantinePrefix+"1\n"))
 }
--- a/internal/warmstate/snapshot.go
+++ b/internal/warmstate/snapshot.go
@@ -21,7 +21,7 @@
 // Header identifies the pooler that wrote a snapshot.
 type Header struct {
 	Name      string  `json:"name"` // of the pooler
-	SiteHash  string  `json:"site"` // of the classes: facts about other classes mean nothing
+	SiteHash  string  `json:"site"` // hash of the class definitions: facts about other classes do not apply
 	WrittenAt float64 `json:"at"`   // Unix milliseconds
 }
 
@@ -30,28 +30,30 @@
 	Name         string  `json:"name"`
 	Group        uint64  `json:"group"`
 	StartedAt    float64 `json:"since_ms"` // start of its process, Unix milliseconds; 0: long ago
-	Limit        float64 `json:"limit"`    // of requests in flight
-	FailureScore float64 `json:"took"`     // time that attempts took, in latency objectives of their classes
-	Lag          float64 `json:"lag_ms"`   // replication lag; negative: unknown
+	Limit        float64 `json:"limit"`    // limit of requests in flight
+	FailureScore float64 `json:"took"`     // duration of attempts, in multiples of the latency objective of their class
+	Lag          float64 `json:"lag_ms"`   // replication lag, in milliseconds; negative: unknown
 	LagAge       float64 `json:"heard_ms"`
 	IsPrimary    bool    `json:"primary,omitempty"`
-	RoleAge      float64 `json:"proof_ms"` // age of the last proof of the role
+	RoleAge      float64 `json:"proof_ms"` // age of the last confirmation of the role
 }
 
-// Class holds what is usual for a class, in milliseconds.
+// Class holds the usual latency and service time of a request class, in milliseconds.
 type Class struct {
 	Name        string  `json:"name"`
 	Latency     float64 `json:"latency_ms"`
 	ServiceTime float64 `json:"work_ms"`
 }
 
-// IdleResets counts requests, and those that found their connection reset, by how long the connection had been idle.
+// IdleResets counts the requests, and those of them that found their connection reset, by how long the
+// connection had been idle.
 type IdleResets struct {
 	Requests []float64 `json:"requests"`
 	Resets   []float64 `json:"resets"`
 }
 
-// EndpointList is the last endpoint list, encoded as by discovery, for a start without discovery.
+// EndpointList is the last endpoint list, in the encoding of discovery. It serves a process that starts
+// without discovery.
 type EndpointList struct {
 	ReceivedAt float64             `json:"at"` // Unix milliseconds
 	JSON       jsoniter.RawMessage `json:"list"`
@@ -82,7 +84,7 @@
 	return s
 }
 
-// lagMillis converts a lag; below 0 it is not known, however little.
+// lagMillis converts a lag to milliseconds. Any negative lag means that it is unknown.
 func lagMillis(lag time.Duration) float64 {
 	if lag < 0 {
 		return unknownLag
@@ -90,8 +92,8 @@
 	return toMillis(lag)
 }
 
-// toMillis converts to milliseconds, rounded to microseconds.
+// toMillis converts a duration to milliseconds, rounded to microseconds.
 func toMillis(d time.Duration) float64 { return math.Round(float64(d)/1e3) / 1e3 }
 
-// fromMillis converts from milliseconds.
+// fromMillis converts milliseconds to a duration.
 func fromMillis(millis float64) time.Duration { return time.Duration(millis * 1e6) }
--- a/internal/warmstate/store.go
+++ b/internal/warmstate/store.go
@@ -18,45 +18,53 @@
 	quarantinePrefix = "learned.ash.bad-"
 )
 
-// maxQuarantined is how many malformed files are retained for a look.
+// maxQuarantined is the number of malformed files that are retained for inspection.
 const maxQuarantined = 3
 
 // Store is the directory in which one pooler persists its file. Its methods must not be called concurrently.
 type Store struct {
 	fs        vfs.FS
 	directory string
-	lock      io.Closer // nil: the directory is not locked
-	inPlace   bool      // Save overwrites the file in place
-	hasNewer  bool      // there is a file of a newer version, which is left alone
+	// lock is held until Close; nil: the directory is not locked.
+	lock io.Closer
+	// inPlace is set if Save overwrites the file in place.
+	inPlace bool
+	// hasNewerFile is set if there is a file of a newer version, which must not be overwritten.
+	hasNewerFile bool
 }
 
-// Open locks a directory for this process. The caller ends it by Close. The error is a *DirectoryError.
-func Open(d vfs.FS, directory string) (*Store, error) {
-	lock, err := d.Lock(filepath.Join(directory, lockName))
+// Open locks a directory for this process. The caller must call Close to release it. The error is a
+// *DirectoryError.
+func Open(fsys vfs.FS, directory string) (*Store, error) {
+	lock, err := fsys.Lock(filepath.Join(directory, lockName))
 	if err != nil {
 		return nil, &DirectoryError{Path: directory, Locked: errors.Is(err, vfs.ErrLocked), Err: err}
 	}
-	return &Store{fs: d, directory: directory, lock: lock}, nil
+	return &Store{fs: fsys, directory: directory, lock: lock}, nil
 }
 
 // NewUnlockedStore returns a store without a lock, for measurements.
-func NewUnlockedStore(d vfs.FS, directory string) *Store { return &Store{fs: d, directory: directory} }
+func NewUnlockedStore(fsys vfs.FS, directory string) *Store {
+	return &Store{fs: fsys, directory: directory}
+}
 
-// DisableAtomicWrites makes Save overwrite the file in place, so that the checker of half-written files is seen to fail.
+// DisableAtomicWrites makes Save overwrite the file in place, to show that the checker for half-written files
+// can fail.
 func (s *Store) DisableAtomicWrites() { s.inPlace = true }
 
 // Close releases the lock.
 func (s *Store) Close() {
 	if s.lock != nil {
-		_ = s.lock.Close() // the end of the process releases it in any case
+		_ = s.lock.Close() // when the process ends, the lock is released in any case
 	}
 }
 
 // Path returns the path of the file.
 func (s *Store) Path() string { return filepath.Join(s.directory, fileName) }
 
-// Load reads the file; without one it returns nil and no error. A file that exists and cannot be used is a *LoadError: a
-// malformed one is moved aside, and one of a newer version stays and is not overwritten by Save.
+// Load reads the file. If there is none, it returns nil and no error. For a file that cannot be decoded it
+// returns a *LoadError: a malformed file is moved aside, and a file of a newer version stays and is not
+// overwritten by Save.
 func (s *Store) Load() (snapshot *Snapshot, lost []string, err error) {
 	b, _, err := s.fs.ReadFile(s.Path(), MaxFileBytes)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -69,16 +77,17 @@
 	if err == nil {
 		return snapshot, lost, nil
 	}
-	failed := &LoadError{Path: s.Path(), Err: err}
+	loadError := &LoadError{Path: s.Path(), Err: err}
 	if errors.Is(err, ErrNewerVersion) {
-		s.hasNewer = true
+		s.hasNewerFile = true
 	} else {
-		failed.QuarantinedAs, failed.QuarantineErr = s.quarantine()
+		loadError.QuarantinedAs, loadError.QuarantineErr = s.quarantine()
 	}
-	return nil, nil, failed
+	return nil, nil, loadError
 }
 
-// quarantine moves the file aside under the next free number, and removes all but the last few that were moved before.
+// quarantine moves the file aside under the next free number, and removes older quarantined files beyond
+// maxQuarantined.
 func (s *Store) quarantine() (path string, err error) {
 	numbers, err := s.quarantined()
 	if err != nil {
@@ -90,14 +99,14 @@
 	}
 	for _, n := range numbers {
 		if n <= next-maxQuarantined {
-			_ = s.fs.Remove(s.quarantinePath(n)) // the next quarantine tries again
+			_ = s.fs.Remove(s.quarantinePath(n)) // if this fails, the next quarantine tries again
 		}
 	}
 	path = s.quarantinePath(next)
 	return path, s.fs.Rename(s.Path(), path)
 }
 
-// quarantined returns the numbers of the files that were moved aside.
+// quarantined returns the numbers of the quarantined files.
 func (s *Store) quarantined() (numbers []int, err error) {
 	names, err := s.fs.ReadDirNames(s.directory)
 	if err != nil {
@@ -119,10 +128,10 @@
 	return filepath.Join(s.directory, quarantinePrefix+strconv.Itoa(number))
 }
 
-// Save replaces the file, so that a reader finds the old one or the new one complete, whatever crash comes between.
-// After an error either may be there, and the next Save writes a new file.
+// Save replaces the file atomically: even after a crash a reader finds either the old file or the new one,
+// complete. After an error either may be there, and the next Save writes a new file.
 func (s *Store) Save(b []byte) error {
-	if s.hasNewer {
+	if s.hasNewerFile {
 		return &NewerFileError{Path: s.Path()}
 	}
 	if s.inPlace {
--- a/internal/warmstate/validate.go
+++ b/internal/warmstate/validate.go
@@ -2,11 +2,11 @@
 
 import "math"
 
-// maxValue bounds the numbers of a snapshot, of which Unix milliseconds are the largest.
+// maxValue limits the numbers in a snapshot. The largest valid ones are Unix milliseconds.
 const maxValue = 1e15
 
-// migrate brings a snapshot of an older version to the present one. Version 1 had no lag and no ages: what it reports of
-// roles and lag is as old as can be.
+// migrate converts a snapshot of an older version to the current one. Version 1 had no lag and no ages, so
+// that its roles and lags are taken as unknown, with the maximum age.
 func migrate(s *Snapshot, version uint16) {
 	if version >= 2 {
 		return
@@ -18,7 +18,8 @@
 	}
 }
 
-// removeInvalid drops what no pooler writes: a file with valid checksums may still come from a faulty program.
+// removeInvalid drops values that no correct pooler writes: a file with valid checksums may still come from a
+// faulty program.
 func removeInvalid(s *Snapshot) {
 	hosts := s.Hosts[:0]
 	seen := map[string]bool{}
--- a/internal/warmstate/warmstate_test.go
+++ b/internal/warmstate/warmstate_test.go
@@ -34,7 +34,7 @@
 	require.NoError(t, err)
 	require.Empty(t, lost)
 	require.Equal(t, fullSnapshot(), s)
-	// A truncated file, at every byte: an error, or what is whole of it, and never anything else.
+	// A file truncated at any byte gives an error, or only its undamaged sections.
 	for n := range b {
 		s, _, err := Decode(b[:n])
 		if err == nil {
@@ -42,7 +42,7 @@
 			require.Subset(t, fullSnapshot().Hosts, s.Hosts)
 		}
 	}
-	// A flipped bit, anywhere: it costs the part that it is in.
+	// A flipped bit at any place loses only the section that contains it.
 	usable := 0
 	for i := range b {
 		c := append([]byte{}, b...)
@@ -106,16 +106,17 @@
 	require.InDelta(t, 40, fresh.State.Hosts[0].Limit, 0.01)
 	require.Equal(t, 30*time.Millisecond, fresh.State.Hosts[0].Lag)
 	require.True(t, fresh.State.Hosts[1].WasPrimary)
-	ten := at(1e12 + 10*minute)
-	require.InDelta(t, 3+37/2.718, ten.State.Hosts[0].Limit, 0.1)
-	require.Less(t, ten.State.Hosts[0].Score, 0.01, "failures are forgotten soon")
-	require.Negative(t, ten.State.Hosts[0].Lag)
-	require.True(t, ten.State.Hosts[1].WasPrimary)
-	require.InDelta(t, 3-1/2.718, ten.State.Hosts[1].Limit, 0.01, "a low limit too nears the usual one")
-	day := at(1e12 + 3*hour)
-	require.Len(t, day.State.Hosts, 0)
-	require.Len(t, day.State.Classes, 1, "how long a class takes stays true for longer")
-	// A day old, from the future, of another pooler or site: nothing counts, and it is said why.
+	afterTenMinutes := at(1e12 + 10*minute)
+	require.InDelta(t, 3+37/2.718, afterTenMinutes.State.Hosts[0].Limit, 0.1)
+	require.Less(t, afterTenMinutes.State.Hosts[0].Score, 0.01, "failures are forgotten soon")
+	require.Negative(t, afterTenMinutes.State.Hosts[0].Lag)
+	require.True(t, afterTenMinutes.State.Hosts[1].WasPrimary)
+	require.InDelta(t, 3-1/2.718, afterTenMinutes.State.Hosts[1].Limit, 0.01, "a low limit too nears the usual one")
+	afterThreeHours := at(1e12 + 3*hour)
+	require.Len(t, afterThreeHours.State.Hosts, 0)
+	require.Len(t, afterThreeHours.State.Classes, 1, "how long a class takes stays true for longer")
+	// A snapshot that is older than a day, from the future, or of another pooler or site is ignored, with a
+	// reason.
 	for why, w := range map[string]Aged{
 		"older than a day": at(1e12 + 25*hour), "ran backwards": at(1e12 - hour), "year": at(1e12 + 365*24*hour),
 		`pooler "n1"`: ApplyAge(fullSnapshot(), 1e12, "n2", "site", false), "another site": ApplyAge(fullSnapshot(), 1e12, "n1", "other", false),
@@ -132,14 +133,14 @@
 		}
 	}
 	require.NotEmpty(t, ApplyAge(fullSnapshot(), 1e12+25*hour, "n1", "site", true).State.Hosts, "the switch for the checker")
-	// What the decisions give comes back the same.
+	// The state that the router exports is restored unchanged.
 	s := routing.RouterState{Hosts: []routing.HostState{{Host: "a", Group: 2, Started: time.Second, Limit: 7, Score: 0.5, Lag: 40 * time.Millisecond, LagAge: time.Second}}}
 	got := ApplyAge(NewSnapshot(Header{"n", "s", 5e5}, s, nil, nil), 5e5, "n", "s", false).State
-	s.Hosts[0].LagAge = 0 // it is in the weight
+	s.Hosts[0].LagAge = 0 // the lag's age is not restored: it has gone into its weight
 	require.Equal(t, s.Hosts, got.Hosts)
 }
 
-// A host that has never told its position is no less unknown after a restart.
+// The lag of a host that has never reported its position stays unknown after a restart.
 func TestAnUnknownLagStaysUnknown(t *testing.T) {
 	state := routing.RouterState{Hosts: []routing.HostState{{Host: "a", Group: 2, Started: time.Second, Limit: 7, Lag: -1}}}
 	snapshot := NewSnapshot(Header{"n", "s", 5e5}, state, nil, nil)
@@ -147,28 +148,31 @@
 	require.Equal(t, state.Hosts, ApplyAge(snapshot, 5e5, "n", "s", false).State.Hosts)
 }
 
-// faultyFS is a file system that crashes or fails at the nth call. After a crash only what was synced is left.
+// faultyFS is a file system that crashes or fails once at a given call. live is its content; synced is what a
+// crash leaves.
 type faultyFS struct {
-	live, safe map[string][]byte
-	calls      int
-	stop       int  // the call at which it stops; 0: never
-	fail       bool // it fails there, and goes on
+	live, synced map[string][]byte
+	calls        int
+	failAt       int  // the number of the call that fails; 0: never
+	failOnce     bool // only that call fails; otherwise all later calls fail too, as after a crash
 }
 
 var (
-	errStopped = errors.New("the machine stopped")
+	errCrashed = errors.New("the machine stopped")
 	errNoSpace = errors.New("no space left on device")
 )
 
-func newFaultyFS() *faultyFS { return &faultyFS{live: map[string][]byte{}, safe: map[string][]byte{}} }
+func newFaultyFS() *faultyFS {
+	return &faultyFS{live: map[string][]byte{}, synced: map[string][]byte{}}
+}
 
 func (d *faultyFS) call() error {
 	d.calls++
-	if d.stop > 0 && d.calls == d.stop && d.fail {
+	if d.failAt > 0 && d.calls == d.failAt && d.failOnce {
 		return errNoSpace
 	}
-	if d.stop > 0 && d.calls >= d.stop && !d.fail {
-		return errStopped
+	if d.failAt > 0 && d.calls >= d.failAt && !d.failOnce {
+		return errCrashed
 	}
 	return nil
 }
@@ -194,7 +198,7 @@
 	if err := d.call(); err != nil {
 		return nil, err
 	}
-	if _, there := d.live[path]; there {
+	if _, exists := d.live[path]; exists {
 		return nil, fs.ErrExist
 	}
 	d.live[path] = nil
@@ -203,7 +207,7 @@
 
 func (f *faultyFile) Write(b []byte) (int, error) {
 	if err := f.d.call(); err != nil {
-		f.d.live[f.path] = append(f.d.live[f.path], b[:len(b)/2]...) // half of it got there
+		f.d.live[f.path] = append(f.d.live[f.path], b[:len(b)/2]...) // half of the bytes were written
 		return len(b) / 2, err
 	}
 	f.d.live[f.path] = append(f.d.live[f.path], b...)
@@ -214,7 +218,7 @@
 	if err := f.d.call(); err != nil {
 		return err
 	}
-	f.d.safe[f.path] = append([]byte{}, f.d.live[f.path]...)
+	f.d.synced[f.path] = append([]byte{}, f.d.live[f.path]...)
 	return nil
 }
 
@@ -233,7 +237,7 @@
 	if err := d.call(); err != nil {
 		return err
 	}
-	if _, there := d.live[path]; !there {
+	if _, exists := d.live[path]; !exists {
 		return fs.ErrNotExist
 	}
 	delete(d.live, path)
@@ -244,13 +248,13 @@
 	if err := d.call(); err != nil {
 		return err
 	}
-	for path := range d.safe { // names are safe from here on, with what was synced of their data
+	for path := range d.synced { // names are safe from here on, with what was synced of their data
 		if _, ok := d.live[path]; !ok {
-			delete(d.safe, path)
+			delete(d.synced, path)
 		}
 	}
 	for path, b := range d.live {
-		d.safe[path] = b
+		d.synced[path] = b
 	}
 	return nil
 }
@@ -262,7 +266,7 @@
 	return names, d.call()
 }
 
-func TestStopAtAnyCallLeavesACompleteFile(t *testing.T) {
+func TestCrashAtAnyCallLeavesACompleteFile(t *testing.T) {
 	first, second := fullSnapshot(), fullSnapshot()
 	second.Header.WrittenAt++
 	for range 200 {
@@ -276,11 +280,11 @@
 		for stop := 1; ; stop++ {
 			d := newFaultyFS()
 			require.NoError(t, NewUnlockedStore(d, "f").Save(a))
-			d.calls, d.stop, d.fail = 0, stop, fail
+			d.calls, d.failAt, d.failOnce = 0, stop, fail
 			err := NewUnlockedStore(d, "f").Save(b)
-			for what, files := range map[string]map[string][]byte{"what was written": d.live, "what was synced": d.safe} {
-				s, lost, derr := Decode(files["f/"+fileName])
-				require.NoError(t, derr, "%s, stopped at call %d", what, stop)
+			for what, files := range map[string]map[string][]byte{"what was written": d.live, "what was synced": d.synced} {
+				s, lost, decodeErr := Decode(files["f/"+fileName])
+				require.NoError(t, decodeErr, "%s, stopped at call %d", what, stop)
 				require.Empty(t, lost)
 				require.Contains(t, []float64{first.Header.WrittenAt, second.Header.WrittenAt}, s.Header.WrittenAt)
 				if err == nil {
@@ -291,16 +295,16 @@
 				require.Greater(t, stop, 8, "every write, sync and rename was one")
 				break
 			}
-			if fail && err != nil { // a full disk: the next attempt finds room
-				d.stop = 0
+			if fail && err != nil { // the disk was full: the next attempt has space again
+				d.failAt = 0
 				require.NoError(t, NewUnlockedStore(d, "f").Save(b))
 			}
 		}
 	}
-	// Written in place, a stop leaves a part: the test can fail.
+	// If the file is written in place, a crash leaves a part of it. This shows that the test can fail.
 	d := newFaultyFS()
 	require.NoError(t, NewUnlockedStore(d, "f").Save(a))
-	d.calls, d.stop = 0, 4
+	d.calls, d.failAt = 0, 4
 	s := NewUnlockedStore(d, "f")
 	s.DisableAtomicWrites()
 	require.Error(t, s.Save(b))
