--- a/internal/session/classify.go
+++ b/internal/session/classify.go
@@ -29,7 +29,7 @@
 	if s, ok := classifySettings(text, tokens, &keywords); ok {
 		return s
 	}
-	if s, ok := classifyNamed(tokens, &keywords); ok {
+	if s, ok := classifySessionObjects(tokens, &keywords); ok {
 		return s
 	}
 	return classifyCalls(tokens, Statement{})
@@ -83,9 +83,9 @@
 	return Statement{}, false
 }
 
-// classifyNamed classifies statements that create, use or drop named objects of a session, such as prepared
-// statements, and statements that bind the session to its connection.
-func classifyNamed(tokens []token, keywords *[leadingKeywordCount]string) (s Statement, ok bool) {
+// classifySessionObjects classifies statements that create, use or drop named objects of a session, such as
+// prepared statements, and statements that bind the session to its connection.
+func classifySessionObjects(tokens []token, keywords *[leadingKeywordCount]string) (s Statement, ok bool) {
 	switch keywords[0] {
 	case "prepare":
 		if keywords[1] == "transaction" {
--- a/internal/warmstate/warmstate_test.go
+++ b/internal/warmstate/warmstate_test.go
@@ -276,26 +276,26 @@
 	require.NoError(t, err)
 	b, err := Encode(second)
 	require.NoError(t, err)
-	for _, fail := range []bool{false, true} {
-		for stop := 1; ; stop++ {
+	for _, failOnce := range []bool{false, true} {
+		for failAt := 1; ; failAt++ {
 			d := newFaultyFS()
 			require.NoError(t, NewUnlockedStore(d, "f").Save(a))
-			d.calls, d.failAt, d.failOnce = 0, stop, fail
+			d.calls, d.failAt, d.failOnce = 0, failAt, failOnce
 			err := NewUnlockedStore(d, "f").Save(b)
 			for what, files := range map[string]map[string][]byte{"what was written": d.live, "what was synced": d.synced} {
 				s, lost, decodeErr := Decode(files["f/"+fileName])
-				require.NoError(t, decodeErr, "%s, stopped at call %d", what, stop)
+				require.NoError(t, decodeErr, "%s, stopped at call %d", what, failAt)
 				require.Empty(t, lost)
 				require.Contains(t, []float64{first.Header.WrittenAt, second.Header.WrittenAt}, s.Header.WrittenAt)
 				if err == nil {
 					require.Equal(t, second.Header.WrittenAt, s.Header.WrittenAt, what)
 				}
 			}
-			if err == nil && d.calls < stop {
-				require.Greater(t, stop, 8, "every write, sync and rename was one")
+			if err == nil && d.calls < failAt {
+				require.Greater(t, failAt, 8, "every write, sync and rename was one")
 				break
 			}
-			if fail && err != nil { // the disk was full: the next attempt has space again
+			if failOnce && err != nil { // the disk was full: the next attempt has space again
 				d.failAt = 0
 				require.NoError(t, NewUnlockedStore(d, "f").Save(b))
 			}
