--- a/internal/warmuplog/reporter.go
+++ b/internal/warmuplog/reporter.go
@@ -1,6 +1,7 @@
-// Package warmuplog logs what a process knows of hosts that warm up and what it sends them. No process sees the sum of what such a
-// host gets, and the sum is what fells it: the lines of all processes, added up, tell it (testbed warmups). A line is written when
-// something changes, and once an interval where something was sent or held back; the number of lines is bounded.
+// Package warmuplog logs what a process knows about warming hosts and what it sends to them. A warming host
+// is overloaded by the sum of what all processes send to it, which none of them sees; the command "testbed
+// warmups" computes that sum from their logs. A line is logged when something changes, and once per interval
+// in which work was sent or held back. The number of lines is bounded.
 package warmuplog
 
 import (
@@ -11,13 +12,13 @@
 	"ashstand/routing"
 )
 
-// Interval is how often a Reporter is to be called.
+// Interval is the time between two calls of Reporter.Report.
 const Interval = time.Second
 
-// maxLines bounds what one call logs.
-const maxLines = 64
+// maxLinesPerReport is the maximum number of lines that one call of Report logs.
+const maxLinesPerReport = 64
 
-// The messages.
+// The log messages.
 const (
 	MessageBegins  = "slow start: a host warms up"
 	MessageChanged = "slow start: a host's part has changed"
@@ -25,68 +26,70 @@
 	MessageEnds    = "slow start: a host is warm, or has gone"
 )
 
-// Reporter logs the differences between one look at the warming hosts and the next. It is not safe for concurrent use.
+// Reporter logs how the state of the warming hosts differs from one call of Report to the next. It is not
+// safe for concurrent use.
 type Reporter struct {
-	seen  map[string]dispatch.SlowStartView
-	lines int
+	lastViews   map[string]dispatch.SlowStartView
+	linesLogged int
 }
 
-// New returns a reporter that has seen nothing.
-func New() *Reporter { return &Reporter{seen: map[string]dispatch.SlowStartView{}} }
+// New returns a reporter that knows no warming hosts yet.
+func New() *Reporter { return &Reporter{lastViews: map[string]dispatch.SlowStartView{}} }
 
 // Report logs what has changed since the last call.
 func (r *Reporter) Report(nowMillis float64, warming []dispatch.SlowStartView) {
-	r.lines = 0
+	r.linesLogged = 0
 	present := make(map[string]dispatch.SlowStartView, len(warming))
 	for _, view := range warming {
 		present[view.Host] = view
-		before, known := r.seen[view.Host]
-		if !known || before.StartedAt != view.StartedAt {
-			before = dispatch.SlowStartView{}
+		previous, known := r.lastViews[view.Host]
+		if !known || previous.StartedAt != view.StartedAt {
+			previous = dispatch.SlowStartView{}
 			r.log(MessageBegins, &view, "notified_ms", int64(view.NotifiedAtMillis))
-		} else if before.IsPrimary != view.IsPrimary || before.Members != view.Members {
-			r.log(MessageChanged, &view, "was_primary", before.IsPrimary, "had_members", before.Members)
+		} else if previous.IsPrimary != view.IsPrimary || previous.Members != view.Members {
+			r.log(MessageChanged, &view, "was_primary", previous.IsPrimary, "had_members", previous.Members)
 		}
-		r.reportWork(nowMillis, &before, &view)
+		r.reportWork(nowMillis, &previous, &view)
 	}
-	for host, view := range r.seen {
+	for host, view := range r.lastViews {
 		if _, ok := present[host]; !ok {
 			r.log(MessageEnds, &view)
 		}
 	}
-	r.seen = present
+	r.lastViews = present
 }
 
 // reportWork logs what was sent and held back since the last call, by path.
-func (r *Reporter) reportWork(nowMillis float64, before, view *dispatch.SlowStartView) {
+func (r *Reporter) reportWork(nowMillis float64, previous, view *dispatch.SlowStartView) {
 	attributes := []any{"until_ms", int64(nowMillis)}
 	for _, path := range routing.SlowStartPaths() {
-		if n := view.Sent[path] - before.Sent[path]; n > 0 {
+		if n := view.Sent[path] - previous.Sent[path]; n > 0 {
 			attributes = append(attributes, path.String(), n)
 		}
 	}
-	held := 0
+	heldBack := 0
 	for _, path := range routing.SlowStartPaths() {
-		held += view.HeldBack[path] - before.HeldBack[path]
+		heldBack += view.HeldBack[path] - previous.HeldBack[path]
 	}
-	if held > 0 {
-		attributes = append(attributes, "held_back", held)
+	if heldBack > 0 {
+		attributes = append(attributes, "held_back", heldBack)
 	}
 	if len(attributes) > 2 {
 		r.log(MessageSent, view, attributes...)
 	}
 }
 
-// log writes a line with what every line on a warming host has.
+// log writes a line with the attributes that every line about a warming host has, unless maxLinesPerReport is
+// reached.
 func (r *Reporter) log(message string, view *dispatch.SlowStartView, attributes ...any) {
-	if r.lines++; r.lines > maxLines {
+	if r.linesLogged++; r.linesLogged > maxLinesPerReport {
 		return
 	}
 	slog.Info(message, append([]any{
 		"host", view.Host, "group", view.Group, "started_ms", int64(view.StartedAtMillis), "primary", view.IsPrimary,
-		"members", view.Members, "ratio", rounded(view.Ratio), "rate", rounded(view.RatePerSecond),
+		"members", view.Members, "ratio", truncated(view.Ratio), "rate", truncated(view.RatePerSecond),
 	}, attributes...)...)
 }
 
-// rounded leaves three decimals.
-func rounded(x float64) float64 { return float64(int64(x*1e3)) / 1e3 }
+// truncated cuts a figure off after three decimals.
+func truncated(x float64) float64 { return float64(int64(x*1e3)) / 1e3 }
--- a/internal/warmuplog/reporter_test.go
+++ b/internal/warmuplog/reporter_test.go
@@ -14,34 +14,34 @@
 	"ashstand/routing"
 )
 
-// A line for each change and each interval in which something was sent, none for an interval in which nothing happened, and no
-// more than so many.
-func TestALineForEachChange(t *testing.T) {
+// There is a line for each change and for each interval in which work was sent or held back, and none for an
+// interval in which nothing happened. The number of lines is bounded.
+func TestReportLogsEachChange(t *testing.T) {
 	var log bytes.Buffer
-	was := slog.Default()
-	t.Cleanup(func() { slog.SetDefault(was) })
+	previous := slog.Default()
+	t.Cleanup(func() { slog.SetDefault(previous) })
 	slog.SetDefault(slog.New(slog.NewTextHandler(&log, nil)))
 	r := New()
 	view := dispatch.SlowStartView{StartedAtMillis: 5000, SlowStartStatus: routing.SlowStartStatus{Host: "a", Group: 3, StartedAt: 5 * time.Second, Members: 4, Ratio: 0.42}}
-	look := func(views ...dispatch.SlowStartView) string {
+	reportOutput := func(views ...dispatch.SlowStartView) string {
 		log.Reset()
 		r.Report(9000, views)
 		return log.String()
 	}
-	require.Contains(t, look(view), MessageBegins)
-	require.Empty(t, look(view))
+	require.Contains(t, reportOutput(view), MessageBegins)
+	require.Empty(t, reportOutput(view))
 	view.Sent[routing.PathWrite], view.HeldBack[routing.PathReplicaRead] = 3, 2
-	require.Contains(t, look(view), `host=a group=3 started_ms=5000 primary=false members=4 ratio=0.42 rate=0 until_ms=9000 write=3 held_back=2`)
-	require.Empty(t, look(view))
+	require.Contains(t, reportOutput(view), `host=a group=3 started_ms=5000 primary=false members=4 ratio=0.42 rate=0 until_ms=9000 write=3 held_back=2`)
+	require.Empty(t, reportOutput(view))
 	view.IsPrimary, view.Members = true, 2
-	require.Contains(t, look(view), "was_primary=false had_members=4")
+	require.Contains(t, reportOutput(view), "was_primary=false had_members=4")
 	view.StartedAt++
-	require.Contains(t, look(view), MessageBegins)
-	require.Contains(t, look(), MessageEnds)
+	require.Contains(t, reportOutput(view), MessageBegins)
+	require.Contains(t, reportOutput(), MessageEnds)
 	var many []dispatch.SlowStartView
-	for i := range 3 * maxLines {
+	for i := range 3 * maxLinesPerReport {
 		view.Host = fmt.Sprint("h", i)
 		many = append(many, view)
 	}
-	require.Equal(t, maxLines, strings.Count(look(many...), "\n"))
+	require.Equal(t, maxLinesPerReport, strings.Count(reportOutput(many...), "\n"))
 }
