--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -258,7 +258,7 @@
 	}
 }
 
-// armTimer makes Run tick at the given time, unless an earlier tick is already due. d.mu is held.
+// armTimer makes Run tick at the given time, unless an earlier tick is already set. d.mu is held.
 func (d *Dispatcher) armTimer(at float64) {
 	if d.timerAt > 0 && at >= d.timerAt {
 		return
--- a/internal/dispatch/stale_test.go
+++ b/internal/dispatch/stale_test.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// Guards against keeping an at-most-once read that ran queued until its deadline and then rejecting it: it
-// must fail.
+// Guards against an at-most-once read that has run being queued until its deadline and then rejected. It must
+// fail.
 func TestExecutedReadFailsWithoutHost(t *testing.T) {
 	d, c, call := startWithRead(t, "browse", 0, func(class *routing.Class) { class.Idempotency = routing.AtMostOnce })
 	_, ok := call.TryPick()
@@ -123,7 +123,7 @@
 	return d, c, beginCall(t, d, name, minPosition)
 }
 
-// pickWithin returns the next decision, and advances the clock by up to most milliseconds until there is one.
+// pickWithin returns the next decision, and advances the clock by up to maxMillis until there is one.
 func pickWithin(t *testing.T, d *Dispatcher, c *clock.Manual, call *Call, maxMillis int) Decision {
 	t.Helper()
 	for range maxMillis / 10 {
@@ -138,8 +138,8 @@
 	return next
 }
 
-// The role and position in an answer count even if its attempt was given up. The position of a commit proves
-// nothing up to the last millisecond, because it was rounded up.
+// The role and position in an answer count even if its attempt was given up. The position of a commit was
+// rounded up, so it does not prove the last millisecond.
 func TestLateAnswerIsRecorded(t *testing.T) {
 	d, c := newTestDispatcher(t)
 	call := beginCall(t, d, "donate", 0)
--- a/internal/lifecycle/closereason.go
+++ b/internal/lifecycle/closereason.go
@@ -38,7 +38,7 @@
 
 // OwesAnswers reports whether every request of a connection must be answered before the connection is closed
 // for this reason. That is so if the pooler itself closes the connection, unless it does so because the
-// client has disconnected or does not read.
+// client has disconnected or does not read, or because the event loop failed.
 func (r CloseReason) OwesAnswers() bool {
 	switch r {
 	case ClosedByClient, ClosedTerminate, ClosedCancelRequest, ClosedNotReading, ClosedEngineFailure:
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -120,8 +120,8 @@
 		{MayHaveRun: true, RetryIsHarmless: true}: Allowed,
 		{MayHaveRun: true}:                        RequestMayHaveRun,
 	} {
-		permit, may := MayReject(facts)
-		require.Equal(t, want, may.Reason, "%+v", facts)
+		permit, decision := MayReject(facts)
+		require.Equal(t, want, decision.Reason, "%+v", facts)
 		require.Equal(t, want == Allowed, permit.IsGranted(), "%+v", facts)
 	}
 	require.False(t, RejectionPermit{}.IsGranted())
