--- a/internal/net/pg/session_backpressure.go
+++ b/internal/net/pg/session_backpressure.go
@@ -8,27 +8,32 @@
 	"ashstand/internal/net/loop"
 )
 
-// backpressureState is the connections that are not read until their peers have taken what waits. The event loop owns it.
+// backpressureState holds the connections whose reads are paused until their peers have taken the bytes that
+// wait for them. The event loop owns it.
 type backpressureState struct {
-	paused          map[*loop.PausableConn]func() bool // and whether to go on
+	// paused maps each paused connection to a function that reports whether its reads may be resumed.
+	paused          map[*loop.PausableConn]func() bool
 	resumeScheduled bool
 }
 
-// suspendUntil pauses a source until its peer has taken what waits for it.
-func (f *SessionFront) suspendUntil(w *loop.PausableConn, ok func() bool) {
-	if _, there := f.backpressure.paused[w]; there {
+// suspendUntil pauses reads from a connection until mayResume reports true. That is checked every
+// resumeInterval.
+func (f *SessionFront) suspendUntil(source *loop.PausableConn, mayResume func() bool) {
+	if _, isPaused := f.backpressure.paused[source]; isPaused {
 		return
 	}
-	f.onLoop(func() { // not from within the connection's own Traffic
-		if _, there := f.backpressure.paused[w]; there || ok() || !w.Pause() {
+	f.onLoop(func() { // Pause must not be called from within the connection's own Traffic
+		if _, isPaused := f.backpressure.paused[source]; isPaused || mayResume() || !source.Pause() {
 			return
 		}
 		f.stats.ReadsPaused++
-		f.backpressure.paused[w] = ok
+		f.backpressure.paused[source] = mayResume
 		f.scheduleResume()
 	})
 }
 
+// scheduleResume resumes, after resumeInterval, the connections that may be read again, and repeats that
+// while any connection is paused.
 func (f *SessionFront) scheduleResume() {
 	if f.backpressure.resumeScheduled || len(f.backpressure.paused) == 0 {
 		return
@@ -37,10 +42,10 @@
 	time.AfterFunc(resumeInterval, func() {
 		f.onLoop(func() {
 			f.backpressure.resumeScheduled = false
-			for w, ok := range f.backpressure.paused {
-				if ok() {
-					delete(f.backpressure.paused, w)
-					w.Resume(f.eventLoop.Load().(gnet.EventLoop))
+			for source, mayResume := range f.backpressure.paused {
+				if mayResume() {
+					delete(f.backpressure.paused, source)
+					source.Resume(f.eventLoop.Load().(gnet.EventLoop))
 				}
 			}
 			f.scheduleResume()
--- a/internal/net/pg/session_cancel.go
+++ b/internal/net/pg/session_cancel.go
@@ -12,13 +12,15 @@
 
 const (
 	disableCancelGuarantee = "cancel" // see SessionFront.Break
-	// neverDelivered is a count of cancel requests that delivering them does not bring back to 0.
+	// neverDelivered replaces the count of pending cancel requests while the cancel guarantee is disabled. It
+	// is negative, so that returnToPool does not wait for the requests, and no number of deliveries changes
+	// it to 0, so that cancelDelivered does not return the connection a second time.
 	neverDelivered     = -1 << 30
 	brokenCancelDelay  = 10 * time.Millisecond
 	maxCancelReplyRead = 1024 // bytes that a host may answer to a cancel request
 )
 
-// assignCancelKey draws a key for cancel requests that no client has.
+// assignCancelKey gives the client a random cancel key that no other client has.
 func (f *SessionFront) assignCancelKey(c *sessionClient) {
 	for {
 		c.cancelKey = newCancelKey(c.number)
@@ -29,14 +31,15 @@
 	}
 }
 
-// cancel carries a cancel request to the host that runs the client's query. A key that was not given out here does nothing.
+// cancel handles a cancel request: it rejects the client's transaction if nothing of it was sent, and
+// otherwise forwards the request to the host that runs the query. An unknown key is ignored.
 func (f *SessionFront) cancel(key uint64) {
 	c := f.clients.byCancelKey[key]
 	if c == nil || c.disconnected {
 		return
 	}
 	switch c.phase {
-	case phaseRouting, phaseQueued: // nothing of it ran, nor will it
+	case phaseRouting, phaseQueued: // nothing of the transaction was sent, and nothing will be
 		c.routing.waiter.Dequeue()
 		call := c.routing.call
 		c.routing.call = nil
@@ -50,7 +53,7 @@
 		c.rejectCancelled()
 		c.resume()
 		return
-	case phaseRestoring, phaseRejectedByHost: // once the connection is the session's own again, or nobody's
+	case phaseRestoring, phaseRejectedByHost: // applied once the host has answered what is under way on the connection
 		c.routing.cancelRequested = true
 		return
 	}
@@ -59,8 +62,8 @@
 	}
 }
 
-// forwardCancel sends a cancel request to a connection's host. The connection is not given to another session before the
-// host has dealt with the request, so that it can't hit the next one's query.
+// forwardCancel sends a cancel request to a connection's host. The connection is not given to another session
+// before the host has handled the request, so that the request can't cancel that session's query.
 func (f *SessionFront) forwardCancel(s *serverConn) {
 	f.stats.Cancels++
 	s.cancellation.pending++
@@ -78,10 +81,11 @@
 	}()
 }
 
-// cancelDelivered says that a cancel request was delivered to the connection's host, or was not.
+// cancelDelivered handles the outcome of delivering a cancel request. Once no request is pending, a
+// connection without a session returns to its pool; after a failed delivery it is retired.
 func (s *serverConn) cancelDelivered(err error) {
-	if s.cancellation.pending--; err != nil { // it may still arrive
-		slog.Warn("sessions: a cancel request was not delivered", "host", s.pool.host.name, "error", err)
+	if s.cancellation.pending--; err != nil { // the request may still arrive and cancel a later query
+		slog.Warn("sessions: cancel request not delivered", "host", s.pool.host.name, "error", err)
 		s.retired = true
 	}
 	if s.cancellation.pending == 0 && s.session == nil && !s.closed {
@@ -89,7 +93,8 @@
 	}
 }
 
-// deliverCancelRequest sends a cancel request and waits until the host has taken it, which it says by closing.
+// deliverCancelRequest sends a cancel request and waits until the host has handled it, which the host signals
+// by closing the connection.
 func deliverCancelRequest(address string, request []byte, timeout time.Duration) error {
 	c, err := net.DialTimeout("tcp", address, timeout)
 	if err != nil {
@@ -106,13 +111,14 @@
 	return err
 }
 
-// rejectCancelled ends a transaction that has not begun yet.
+// rejectCancelled answers the first message of a transaction that was cancelled before anything of it was sent.
 func (c *sessionClient) rejectCancelled() {
 	c.reject(sqlStateQueryCanceled, "canceling statement due to user request", "")
 	c.consumeRejected()
 }
 
-// applyCancel ends a transaction of which nothing was sent, if it was cancelled meanwhile.
+// applyCancel rejects a transaction of which nothing was sent if it was cancelled in the meantime, and
+// reports whether it did.
 func (c *sessionClient) applyCancel() bool {
 	if !c.routing.cancelRequested || c.routing.call == nil {
 		return false
--- a/internal/net/pg/session_client.go
+++ b/internal/net/pg/session_client.go
@@ -10,21 +10,21 @@
 	"ashstand/internal/session"
 )
 
-// phase is what a client waits for.
+// phase is the state of a client, named after what it waits for.
 type phase uint8
 
 const (
-	phaseStarting       phase = iota // its startup message, or its proof of a password
-	phaseUnlinked                    // nothing: it has no server connection
-	phaseRouting                     // a decision where its transaction goes
-	phaseQueued                      // a server connection
-	phaseRestoring                   // the server connection to have the session's settings
-	phaseLinked                      // nothing: it has a server connection
-	phaseTenantPaused                // its tenant's assignment: the tenant is paused
-	phaseRejectedByHost              // the end of what a host rejected, so that it can go elsewhere
+	phaseStarting       phase = iota // waits for its startup message or its password proof
+	phaseUnlinked                    // waits for nothing, and has no server connection
+	phaseRouting                     // waits for a routing decision for its transaction
+	phaseQueued                      // waits for a server connection
+	phaseRestoring                   // waits until the session's settings are restored on the server connection
+	phaseLinked                      // waits for nothing, and has a server connection
+	phaseTenantPaused                // waits in its tenant's queue: the tenant is paused, or its assignment has to change
+	phaseRejectedByHost              // waits for the ReadyForQuery after a host's rejection, to route the transaction again
 )
 
-// blocksInput reports whether no message of the client can be taken before the phase ends.
+// blocksInput reports whether no message of the client can be processed before the phase ends.
 func (p phase) blocksInput() bool {
 	switch p {
 	case phaseRouting, phaseQueued, phaseRestoring, phaseTenantPaused, phaseRejectedByHost:
@@ -33,24 +33,24 @@
 	return false
 }
 
-// sessionClient is one client with its session. It belongs to the event loop of its front: nothing of it, the states below
-// included, is touched by another goroutine, so there is no lock.
+// sessionClient is one client with its session. It is owned by the event loop of its front: no other
+// goroutine accesses it or the states below, so there is no lock.
 type sessionClient struct {
 	front      *SessionFront
 	wire       loop.PausableConn
 	number     uint32
-	cancelKey  uint64  // what a cancel request has to name
-	lastActive float64 // clock milliseconds of the last message from it or to it
+	cancelKey  uint64  // identifies the client in a cancel request
+	lastActive float64 // clock milliseconds of the last message from or to the client
 	phase      phase
 
 	pool           *PoolSettings
 	identity       poolIdentity
-	authentication *scramExchange // nil: none is under way
+	authentication *scramExchange // nil: no exchange is under way
 	pipeline       *session.Pipeline
-	// notifiedParameters are the server parameters that the client was told last.
+	// notifiedParameters are the server parameters as they were last reported to the client.
 	notifiedParameters *parameterSet
 
-	server    *serverConn // nil: it is linked to none
+	server    *serverConn // nil: the client is linked to no server connection
 	input     inputState
 	routing   routingState
 	retention retentionState
@@ -58,58 +58,66 @@
 	record    statementRecord
 	recovery  recoveryState
 
-	disconnected bool    // it was told to go, or its connection is closed
-	closedAt     float64 // clock milliseconds at which it was told to go
+	disconnected bool    // an error that ends the session was sent, or the connection is closed
+	closedAt     float64 // clock milliseconds at which our side of the connection was shut down
 }
 
-// inputState is how far what a client sent has been taken. The event loop owns it.
+// inputState is the progress of processing a client's input. The event loop owns it.
 type inputState struct {
-	unreadBytes int       // that the front counts for this client
-	reading     bool      // messages are being taken
-	again       bool      // and are to be once more, after what is under way
-	blocked     bool      // a message waits for what is under way
-	handling    bool      // the message that waits to be routed is being taken: whoever took it goes on with it
-	pendingKind byte      // kind of the message that waits to be routed; 0: none does
-	ahead       readAhead // what was sent behind a message that waits
+	unreadBytes int  // bytes that clientRegistry.unreadBytes includes for this client
+	reading     bool // readMessages is running
+	readAgain   bool // readMessages has to make another round
+	blocked     bool // the next message waits until an operation under way is done
+	// handling is set while handleUnlinked routes the pending message. Its caller continues with the input
+	// afterwards, so resume is not called meanwhile.
+	handling    bool
+	pendingKind byte      // kind of the message that waits to be routed; 0: none
+	ahead       readAhead // scan position in the input behind a message that waits
 }
 
-// routingState is where a client's transaction goes, from its first message to its first ReadyForQuery. The event loop
-// owns it; a decision that is waited for on another goroutine comes back over the loop.
+// routingState is the routing of a client's transaction, from its first message to its first ReadyForQuery.
+// The event loop owns it; a goroutine that waits for a decision hands the decision back to the loop.
 type routingState struct {
 	waiter          session.Waiter
-	call            *dispatch.Call // nil: no decision is open
-	query           *session.Query // what the transaction is routed by, until it is sent
+	call            *dispatch.Call // nil: no transaction is being routed
+	query           *session.Query // the query by which the transaction is routed, until it is sent
 	route           session.Route
 	request         dispatch.Request
 	readOnly        bool
-	writeClass      bool    // its class is one of writes
-	misplaced       bool    // a write reached a host that takes none
-	cancelRequested bool    // it was cancelled while that could not be answered at once
-	minPosition     float64 // that the session's reads must see
+	writeClass      bool    // the request class is one of writes
+	misplaced       bool    // the host rejected a write because it is read-only
+	cancelRequested bool    // a cancel request came when it could not be handled at once
+	minPosition     float64 // minimum position for the session's reads
 }
 
-// retentionState is why a session does not give its server connection back. The event loop owns it.
+// retentionState records why a session keeps its server connection between transactions. The event loop owns
+// it.
 type retentionState struct {
-	counted          bool                // in its pool, as one that keeps its connection
-	stickyCause      session.StickyCause // counted at the front; "": none is
-	transactionBegun bool                // on the connection that it keeps, though nothing of it may be expected yet
+	counted          bool                // the session is included in its pool's retained count
+	stickyCause      session.StickyCause // the cause under which clientRegistry.stickyCounts counts the session; "": none
+	transactionBegun bool                // a transaction has begun on the retained connection, perhaps with no reply due yet
 }
 
-// tenancyState is what a session's database means to its transaction. The event loop owns it.
+// tenancyState is the tenant of a session, its database, and how that tenant is assigned. The event loop owns
+// it.
 type tenancyState struct {
 	tenant     *session.Tenant // nil: there are no assignments
 	entry      session.QueuedTransaction
-	assignment session.Assignment // by which its host was chosen
+	assignment session.Assignment // the assignment under which the host was chosen
 }
 
-// recoveryState is what a client has to learn of a connection that was lost or could not be set up. The event loop owns it.
+// recoveryState is what remains to be reported to a client about a server connection that was lost or could
+// not be set up. The event loop owns it.
 type recoveryState struct {
-	settingsError string              // what a host answered to the session's settings: SQLSTATE and text
-	pendingError  *session.ErrorReply // to be given to the next statement
-	lostPortals   map[string]bool     // portals bound in a lost block, by whether they end it; the others are empty
+	settingsError string              // SQLSTATE and text of a host's error when the settings were restored
+	pendingError  *session.ErrorReply // the error with which the next statement is answered
+	// lostPortals are the portals bound in a lost block. The value says whether the portal ends the block;
+	// the others are empty queries.
+	lostPortals map[string]bool
 }
 
-// Closed is called on the loop.
+// Closed releases everything that the client holds once its connection is closed. It is called on the event
+// loop.
 func (c *sessionClient) Closed(gnet.Conn, error) {
 	if !c.wire.ConfirmClosed() {
 		return
@@ -130,7 +138,8 @@
 	}
 }
 
-// closeWithError tells the client why it has to go and ends our side; it is closed a moment later.
+// closeWithError sends the client a fatal error and shuts down our side of the connection. The sweep closes
+// the connection after maxLingerMillis unless the client does so first.
 func (c *sessionClient) closeWithError(state, text, detail string) gnet.Action {
 	if c.disconnected {
 		return gnet.None
@@ -149,7 +158,8 @@
 	return gnet.None
 }
 
-// Traffic is called on the loop.
+// Traffic processes what the client sent, and pauses its reads at the bounds on unread bytes. It is called on
+// the event loop.
 func (c *sessionClient) Traffic(g gnet.Conn) gnet.Action {
 	if c.disconnected {
 		c.wire.Discard(c.wire.BufferedBytes())
@@ -160,20 +170,21 @@
 		return gnet.Close
 	}
 	f := c.front
-	n := c.countUnread()
-	l := f.limits.Load()
+	unreadBytes := c.countUnread()
+	limits := f.limits.Load()
 	if c.phase == phaseTenantPaused && !c.disconnected && !f.tenancy.tenants.Grow(&c.tenancy.entry, c.waitingBytes(), f.queueBounds(c.pool)) {
 		f.suspendUntil(&c.wire, c.mayResume)
 	}
-	if n > 0 && (n > l.Message+highWaterBytes || f.clients.unreadBytes > l.Bytes) && !c.disconnected {
-		if n >= l.Message+highWaterBytes || c.phase != phaseLinked && c.phase != phaseUnlinked || c.input.blocked {
+	if unreadBytes > 0 && (unreadBytes > limits.Message+highWaterBytes || f.clients.unreadBytes > limits.Bytes) && !c.disconnected {
+		if unreadBytes >= limits.Message+highWaterBytes || c.phase != phaseLinked && c.phase != phaseUnlinked || c.input.blocked {
 			f.suspendUntil(&c.wire, c.mayResume)
 		}
 	}
 	return action
 }
 
-// mayResume reports whether a client that was paused is to be read again. While it is paused nobody else sees its end.
+// mayResume reports whether reads from a paused client may be resumed. It also checks whether a waiting
+// client has closed its connection, which nothing else detects while reads are paused.
 func (c *sessionClient) mayResume() bool {
 	if c.isWaiting() && c.wire.PeerClosed() {
 		c.wire.Close()
@@ -181,7 +192,8 @@
 	return c.disconnected || !c.isBlocked()
 }
 
-// isWaiting reports whether a transaction of which nothing was sent waits here.
+// isWaiting reports whether the client has a transaction that waits here and of which nothing was sent to a
+// host.
 func (c *sessionClient) isWaiting() bool {
 	switch c.phase {
 	case phaseRouting, phaseQueued, phaseTenantPaused, phaseRejectedByHost:
@@ -192,20 +204,20 @@
 	return false
 }
 
-// isBlocked reports whether a message of the client's can't be taken now.
+// isBlocked reports whether the client's next message can't be processed now.
 func (c *sessionClient) isBlocked() bool {
 	return c.phase.blocksInput() || c.input.blocked ||
 		c.server != nil && (c.server.wire.Paused() || c.server.wire.UnsentBytes() > lowWaterBytes)
 }
 
-// resume goes on with what the client sent, from outside of its own Traffic.
+// resume continues with the client's input. It is called from outside of the client's own Traffic.
 func (c *sessionClient) resume() {
 	c.input.blocked = false
 	if c.disconnected {
 		return
 	}
-	if c.input.reading { // a write that failed led here: the loop that wrote goes on
-		c.input.again = true
+	if c.input.reading { // a failed write led here: readMessages is running and makes another round
+		c.input.readAgain = true
 		return
 	}
 	if c.readMessages() == gnet.Close {
@@ -215,7 +227,8 @@
 	c.countUnread()
 }
 
-// countUnread notes how much the client sent that waits here.
+// countUnread updates the count of the client's unread bytes in the front's total, and returns the client's
+// count.
 func (c *sessionClient) countUnread() int {
 	n := c.wire.BufferedBytes()
 	c.front.clients.unreadBytes += n - c.input.unreadBytes
@@ -223,21 +236,21 @@
 	return n
 }
 
-// readMessages takes messages until one has to wait or none is complete.
+// readMessages processes messages until one has to wait or none is complete.
 func (c *sessionClient) readMessages() (action gnet.Action) {
 	c.input.reading = true
-	for again := true; again && action == gnet.None; again = c.input.again && !c.disconnected {
-		c.input.again = false
+	for again := true; again && action == gnet.None; again = c.input.readAgain && !c.disconnected {
+		c.input.readAgain = false
 		action = c.readRound()
 	}
 	c.input.reading = false
 	return action
 }
 
-// readRound is one round of readMessages. What goes to the server is gathered and written at once: a pipeline of five
-// messages is one system call.
+// readRound is one round of readMessages. It collects what goes to the server and writes it at once, so that
+// a pipeline of five messages takes one system call.
 func (c *sessionClient) readRound() gnet.Action {
-	out := c.front.buffers.takeServer()
+	out := c.front.buffers.takeServerBuffer()
 	action, more := gnet.None, true
 	for more && action == gnet.None && !c.disconnected && !c.phase.blocksInput() {
 		if out, more = c.awaitServer(out); !more {
@@ -249,12 +262,13 @@
 			out, more, action = c.readMessage(out)
 		}
 	}
-	c.front.buffers.putServer(c.writeServer(out))
+	c.front.buffers.putServerBuffer(c.writeServer(out))
 	return action
 }
 
-// awaitServer writes what was gathered where much waits for the server. more is false if too much still does: the client
-// is paused until the server has taken it.
+// awaitServer writes out to the server if more than highWaterBytes are unsent or reads from the server are
+// paused. more is false if that is still so afterwards: reads from the client are then paused until the
+// server has taken the bytes.
 func (c *sessionClient) awaitServer(out []byte) (_ []byte, more bool) {
 	s := c.server
 	if s == nil || !s.wire.Paused() && s.wire.UnsentBytes()+len(out) <= highWaterBytes {
@@ -268,7 +282,8 @@
 	return out, true
 }
 
-// readStartup takes what comes before the session is open. more is false where that is not complete yet.
+// readStartup processes a message that comes before the session is open. more is false if the message is not
+// complete yet.
 func (c *sessionClient) readStartup() (more bool, action gnet.Action) {
 	used, action := c.handleStartup(c.peekInput())
 	if used == 0 || action == gnet.Close {
@@ -278,8 +293,8 @@
 	return true, action
 }
 
-// readMessage takes the next message of an open session and appends what goes to the server. more is false where no
-// message is complete, or where it has to wait.
+// readMessage processes the next message of an open session and appends to out what goes to the server. more
+// is false if no message is complete, or if the message has to wait.
 func (c *sessionClient) readMessage(out []byte) (_ []byte, more bool, action gnet.Action) {
 	f := c.front
 	b := c.peekInput()
@@ -304,7 +319,7 @@
 	return out, true, action
 }
 
-// writeServer writes what was gathered to the server.
+// writeServer writes out to the server, if any, and returns the emptied buffer.
 func (c *sessionClient) writeServer(out []byte) []byte {
 	if len(out) > 0 && c.server != nil {
 		c.server.requestSent = true
@@ -313,7 +328,7 @@
 	return out[:0]
 }
 
-// writeClient writes to the client.
+// writeClient writes to the client, unless it is disconnected.
 func (c *sessionClient) writeClient(b []byte) {
 	if len(b) > 0 && !c.disconnected {
 		c.record.unanswered = false
@@ -322,7 +337,8 @@
 	}
 }
 
-// peekInput is what the client sent that was not taken: first what is to be sent again.
+// peekInput returns the client's input that was not consumed. A recorded statement that is replayed comes
+// first.
 func (c *sessionClient) peekInput() []byte {
 	if len(c.record.replay) > 0 {
 		return c.record.replay
@@ -330,7 +346,7 @@
 	return c.wire.Peek()
 }
 
-// discardInput takes n bytes of what peek returned.
+// discardInput consumes n bytes of what peekInput returned.
 func (c *sessionClient) discardInput(n int) {
 	c.input.ahead = readAhead{}
 	if len(c.record.replay) == 0 {
@@ -340,7 +356,7 @@
 	}
 }
 
-// sweep does what is due by time.
+// sweep enforces the client's timeouts.
 func (c *sessionClient) sweep(now float64) {
 	switch {
 	case c.disconnected:
@@ -357,14 +373,15 @@
 		c.front.stats.IdleInTransaction++
 		s := c.server
 		s.retired = true
-		s.wire.Close() // the host rolls back; the session goes on
+		s.wire.Close() // the host rolls the transaction back; the session continues
 		if c.recovery.pendingError != nil {
 			c.recovery.pendingError = &session.ErrorReply{SQLState: sqlStateIdleInTransaction, Text: "the transaction was idle for too long and was rolled back"}
 		}
 	}
 }
 
-// closeIfIdle sends the client away if nothing of it is open: the process is to end.
+// closeIfIdle disconnects the client, because the process shuts down, unless it has input or a transaction
+// under way.
 func (c *sessionClient) closeIfIdle() {
 	if c.disconnected || c.phase != phaseUnlinked && c.phase != phaseLinked && c.phase != phaseStarting || c.wire.BufferedBytes() > 0 ||
 		c.phase != phaseStarting && (!c.pipeline.Idle() || c.pipeline.BlockLost()) {
--- a/internal/net/pg/session_forward.go
+++ b/internal/net/pg/session_forward.go
@@ -7,14 +7,14 @@
 	"ashstand/internal/session"
 )
 
-// forwardMessage takes a message of a client that is linked and appends what goes to the server. ok is false where the
-// message is not in its form.
+// forwardMessage processes a message of a client that is linked to a server and appends to out what goes to
+// the server. ok is false if the message is malformed.
 func (c *sessionClient) forwardMessage(out []byte, kind byte, body, message []byte) (_ []byte, ok bool) {
 	if kind != clientQuery {
 		c.routing.query = nil
 	}
 	switch kind {
-	case clientCopyData, clientCopyDone, clientCopyFail, clientFlush: // a server passes over COPY data that comes after its error
+	case clientCopyData, clientCopyDone, clientCopyFail, clientFlush: // a server ignores COPY data that comes after its error
 		return append(out, message...), true
 	case clientPassword:
 		return out, true
@@ -43,7 +43,7 @@
 	return out, false
 }
 
-// appendUnlessDropped appends a message that goes to the server as it is.
+// appendUnlessDropped appends a message unchanged, unless the action drops it.
 func appendUnlessDropped(out []byte, action session.ClientAction, message []byte) []byte {
 	if action.Drop {
 		return out
@@ -51,13 +51,14 @@
 	return append(out, message...)
 }
 
+// forwardQuery processes a simple query.
 func (c *sessionClient) forwardQuery(out, body, message []byte) (_ []byte, ok bool) {
 	text, rest, ok := cutString(body)
 	if !ok || len(rest) > 0 {
 		return out, false
 	}
 	var query session.Query
-	if c.routing.query != nil { // it was read when it was routed
+	if c.routing.query != nil { // it was scanned when the transaction was routed
 		query, c.routing.query = *c.routing.query, nil
 	} else {
 		query = session.Scan(text)
@@ -82,6 +83,7 @@
 	return append(out, message...), true
 }
 
+// forwardBind processes a Bind, and substitutes the name that the statement has on the server.
 func (c *sessionClient) forwardBind(out, body, message []byte) (_ []byte, ok bool) {
 	portal, name, tail, ok := cutTwoStrings(body)
 	if !ok || !isValidBindTail(tail) {
@@ -100,7 +102,7 @@
 	}), true
 }
 
-// forwardTarget takes a Describe or a Close, of a statement or of a portal.
+// forwardTarget processes a Describe or a Close of a statement or a portal.
 func (c *sessionClient) forwardTarget(out []byte, kind byte, body, message []byte) (_ []byte, ok bool) {
 	target, name, ok := cutTarget(body)
 	if !ok {
@@ -129,10 +131,10 @@
 	}), true
 }
 
-// isValidBindTail reports whether what follows the names of a Bind is in its form: a length that lies would make a server wait
-// for what never comes, on a connection that others are to use.
+// isValidBindTail reports whether the part of a Bind after its names is well formed. With a wrong length the
+// server would wait for bytes that never come, on a connection that other sessions share.
 func isValidBindTail(b []byte) bool {
-	codes := func() bool {
+	skipFormatCodes := func() bool {
 		if len(b) < 2 {
 			return false
 		}
@@ -143,7 +145,7 @@
 		b = b[2+2*n:]
 		return true
 	}
-	if !codes() || len(b) < 2 {
+	if !skipFormatCodes() || len(b) < 2 {
 		return false
 	}
 	n := int(binary.BigEndian.Uint16(b))
@@ -158,9 +160,11 @@
 		}
 		b = b[4+max(0, size):]
 	}
-	return codes() && len(b) == 0
+	return skipFormatCodes() && len(b) == 0
 }
 
+// forwardParse processes a Parse. A statement that must not be prepared is replaced by a message that fails
+// on the server, so that the server's transaction fails too.
 func (c *sessionClient) forwardParse(out, body, message []byte) (_ []byte, ok bool) {
 	name, text, types, ok := cutTwoStrings(body)
 	if !ok || len(types) < 2 || len(types) != 2+4*int(binary.BigEndian.Uint16(types)) {
@@ -189,11 +193,12 @@
 	return appendParse(out, action.Rename, prepared), true
 }
 
-// checkPrepared says why a statement must not be prepared under a name; prepared is nil if there is no memory for it.
+// checkPrepared returns the error with which a Parse under this name is rejected, or nil. prepared is nil if
+// there is no memory for the statement.
 func (c *sessionClient) checkPrepared(name string, prepared *session.Prepared) *session.ErrorReply {
 	p := c.pipeline
 	switch {
-	// That it is prepared already must not hide that the block has failed.
+	// The failed block is reported even if a statement of this name is already prepared.
 	case prepared != nil && !prepared.Query.MayFollowError() && p.Status() == statusFailed && p.Expected() == 0:
 		return errorInFailedBlock()
 	case name != "" && p.Find(name) != nil:
@@ -204,13 +209,14 @@
 	return c.checkSticky(&prepared.Query)
 }
 
+// appendParse appends a Parse of the statement under this name.
 func appendParse(out []byte, name string, p *session.Prepared) []byte {
 	return appendMessage(out, clientParse, func(b []byte) []byte {
 		return append(appendCString(appendCString(b, name), p.Text), p.Params...)
 	})
 }
 
-// appendInjections appends the messages of the pooler's that go before a client's.
+// appendInjections appends the pooler's own messages that precede a client's message.
 func (c *sessionClient) appendInjections(out []byte, injections []session.Injection) []byte {
 	for _, i := range injections {
 		switch {
@@ -228,8 +234,8 @@
 	return out
 }
 
-// checkSticky says why a query must not run: it would bind the session to its connection, and that is not allowed, or too
-// many are bound.
+// checkSticky returns the error with which a query is rejected that would make the session sticky, or nil:
+// the pool allows no sticky sessions, or as many as it allows exist.
 func (c *sessionClient) checkSticky(q *session.Query) *session.ErrorReply {
 	if c.pipeline.StickyCause() != "" || c.pool.Mode == Session {
 		return nil
--- a/internal/net/pg/session_front.go
+++ b/internal/net/pg/session_front.go
@@ -15,19 +15,21 @@
 	"ashstand/internal/session"
 )
 
-// SessionFront is the front of a listener in transaction or session mode. Its methods may be called from any goroutine.
-// All that is not atomic belongs to the event loop: a client and its server connection are served by the same one, so nothing
-// crosses to another goroutine but decisions that have to wait, and dials.
+// SessionFront is the front of a listener in transaction or session mode. Its methods may be called from any
+// goroutine. The event loop owns every field that is neither atomic nor a channel. A client and its server
+// connection are served by the same event loop; only dials and routing decisions that have to wait run on
+// other goroutines.
 type SessionFront struct {
 	engine     *loop.Engine
 	dispatcher *dispatch.Dispatcher
 	clock      clock.Clock
 	names      Names
 	limits     atomic.Pointer[SessionLimits]
-	eventLoop  atomic.Value // gnet.EventLoop, once somebody came
-	// addresses holds one map of hosts to addresses: who takes it out has it to itself.
+	eventLoop  atomic.Value // gnet.EventLoop; unset until the first client connects
+	// addresses holds a single map of host names to addresses. Whoever receives the map has exclusive access
+	// until it is sent back.
 	addresses         chan map[string]string
-	disabledGuarantee atomic.Value // string: see Break
+	disabledGuarantee atomic.Value // string, set by Break
 
 	clients      clientRegistry
 	servers      serverRegistry
@@ -37,46 +39,47 @@
 	backpressure backpressureState
 	tenancy      tenantQueues
 	stats        SessionStats
-	draining     bool // clients go between transactions
-	terminating  bool // every client was ended
+	draining     bool // clients are disconnected between transactions
+	terminating  bool // Cut has disconnected every client
 	clientLog    loop.ThrottledLog
 	hostLog      loop.ThrottledLog
 }
 
-// clientRegistry is the clients of a front. The event loop owns it.
+// clientRegistry holds the clients of a front. The event loop owns it.
 type clientRegistry struct {
 	all          map[*sessionClient]struct{}
 	byCancelKey  map[uint64]*sessionClient
 	lastNumber   uint32
-	unreadBytes  int                         // that they sent and that wait
-	stickyCounts map[session.StickyCause]int // sessions that can't leave their connections
+	unreadBytes  int                         // bytes from all clients that wait here
+	stickyCounts map[session.StickyCause]int // sticky sessions by cause
 }
 
-// serverRegistry is the connections of a front to db hosts. The event loop owns it.
+// serverRegistry holds the connections of a front to database hosts. The event loop owns it.
 type serverRegistry struct {
 	hosts map[string]*sessionHost
-	count int // connections that are open or being opened
+	count int // connections that are open or being opened, to all hosts
 }
 
-// parameterRegistry makes sets of parameters that are compared by their fingerprints. The event loop owns it.
+// parameterRegistry holds what parameter sets are made from. Sets are compared by their fingerprints. The
+// event loop owns it.
 type parameterRegistry struct {
 	seed    maphash.Seed
-	initial *parameterSet // what a client is told first; nil: none came yet
+	initial *parameterSet // the set reported to a new client; nil until the first client has started
 }
 
 const (
-	maxRetainedBufferBytes = 256 << 10 // a larger buffer is not retained for what goes to servers
+	maxRetainedBufferBytes = 256 << 10 // larger buffers for data to servers are not retained
 	maxRetainedBuffers     = 8
 )
 
-// relayBuffers are retained between calls, so that relaying allocates nothing. The event loop owns them.
+// relayBuffers are retained between calls so that relaying doesn't allocate. The event loop owns them.
 type relayBuffers struct {
-	client  []byte   // for what goes to a client
-	servers [][]byte // for what goes to servers: one for each client that is being read, which may nest
+	client  []byte   // for data to a client
+	servers [][]byte // for data to servers: one for each client being read, since reads of clients may nest
 }
 
-// takeServer returns an empty buffer for what goes to a server.
-func (b *relayBuffers) takeServer() []byte {
+// takeServerBuffer returns an empty buffer for data to a server.
+func (b *relayBuffers) takeServerBuffer() []byte {
 	n := len(b.servers)
 	if n == 0 {
 		return nil
@@ -86,19 +89,19 @@
 	return buffer
 }
 
-// putServer gives a buffer back.
-func (b *relayBuffers) putServer(buffer []byte) {
+// putServerBuffer returns a buffer for reuse.
+func (b *relayBuffers) putServerBuffer(buffer []byte) {
 	if cap(buffer) > 0 && cap(buffer) <= maxRetainedBufferBytes && len(b.servers) < maxRetainedBuffers {
 		b.servers = append(b.servers, buffer)
 	}
 }
 
-// NewSessionFront returns a front that asks dispatcher where transactions go.
-func NewSessionFront(e *loop.Engine, dispatcher *dispatch.Dispatcher, c clock.Clock, names Names, limits SessionLimits) *SessionFront {
+// NewSessionFront returns a front whose transactions are routed by dispatcher.
+func NewSessionFront(engine *loop.Engine, dispatcher *dispatch.Dispatcher, clk clock.Clock, names Names, limits SessionLimits) *SessionFront {
 	f := &SessionFront{
-		engine:     e,
+		engine:     engine,
 		dispatcher: dispatcher,
-		clock:      c,
+		clock:      clk,
 		names:      names,
 		addresses:  make(chan map[string]string, 1),
 		clients: clientRegistry{
@@ -116,37 +119,37 @@
 	return f
 }
 
-// Break switches a guarantee off: settings, statements, cancel or position. It is there so
-// that what checks the guarantee can be seen to fail.
+// Break disables a guarantee: settings, statements, cancel or position. It lets a test show that the checker
+// of the guarantee detects the violation.
 func (f *SessionFront) Break(guarantee string) { f.disabledGuarantee.Store(guarantee) }
 
-// SetLimits takes other bounds and pools for what comes from now on.
-func (f *SessionFront) SetLimits(l SessionLimits) {
-	f.limits.Store(&l)
-	f.onLoop(func() { f.catalogue.SetMaxBytes(l.Bytes) })
+// SetLimits replaces the limits and pools. They apply to what follows, not to what is under way.
+func (f *SessionFront) SetLimits(limits SessionLimits) {
+	f.limits.Store(&limits)
+	f.onLoop(func() { f.catalogue.SetMaxBytes(limits.Bytes) })
 }
 
-// SetAddress tells where a host is; "" forgets it. Connections on which nothing is due are closed.
+// SetAddress sets the address of a host; "" removes it. Idle connections to the old address are closed.
 func (f *SessionFront) SetAddress(name, address string) {
-	all := <-f.addresses
-	changed := all[name] != address
-	if all[name] = address; address == "" {
-		delete(all, name)
+	addresses := <-f.addresses
+	changed := addresses[name] != address
+	if addresses[name] = address; address == "" {
+		delete(addresses, name)
 	}
-	f.addresses <- all
+	f.addresses <- addresses
 	if changed {
 		f.onLoop(func() { f.addressChanged(name, address) })
 	}
 }
 
-// address is where a host is. It is known here before the decisions know the host.
+// address returns the address of a host. Addresses are set here before the dispatcher learns of the host.
 func (f *SessionFront) address(name string) string {
-	all := <-f.addresses
-	defer func() { f.addresses <- all }()
-	return all[name]
+	addresses := <-f.addresses
+	defer func() { f.addresses <- addresses }()
+	return addresses[name]
 }
 
-// CloseIdle closes the connections to a host on which nothing is due.
+// CloseIdle closes the idle connections to a host.
 func (f *SessionFront) CloseIdle(name string) {
 	f.onLoop(func() {
 		if h := f.servers.hosts[name]; h != nil {
@@ -163,7 +166,8 @@
 	}
 }
 
-// addressChanged forgets what was known of a host under its old address; sessions that wait for it choose anew.
+// addressChanged drops the pools of a host's old address. Sessions that wait for a connection to it are
+// routed again.
 func (f *SessionFront) addressChanged(name, address string) {
 	h := f.servers.hosts[name]
 	if h == nil || h.address == address {
@@ -177,27 +181,28 @@
 	}
 }
 
-// onLoop does something on the loop, later.
-func (f *SessionFront) onLoop(do func()) {
-	if l, ok := f.eventLoop.Load().(gnet.EventLoop); ok {
-		_ = l.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
-			do()
+// onLoop schedules a task on the event loop. Before the first client has connected there is no loop, and the
+// task is dropped.
+func (f *SessionFront) onLoop(task func()) {
+	if eventLoop, ok := f.eventLoop.Load().(gnet.EventLoop); ok {
+		_ = eventLoop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
+			task()
 			return nil
 		}))
 	}
 }
 
-// Accept makes the handler of a connection; it is called on the event loop.
+// Accept returns the handler of a new connection. It is called on the event loop.
 func (f *SessionFront) Accept(g gnet.Conn) (loop.Handler, []byte, gnet.Action) {
 	f.eventLoop.CompareAndSwap(nil, g.EventLoop())
 	f.clients.lastNumber++
 	c := &sessionClient{front: f, number: f.clients.lastNumber, lastActive: f.clock.Now()}
 	c.routing.waiter.Owner = c
 	c.wire = loop.NewPausableConn(f.engine, g, c)
-	l := f.limits.Load()
-	if len(f.clients.all) >= l.Clients {
-		f.clientLog.Printf("sessions: %d client connections are open, one more is sent away", len(f.clients.all))
-		if len(f.clients.all) >= l.Clients+l.Clients/8+1 {
+	limits := f.limits.Load()
+	if len(f.clients.all) >= limits.Clients {
+		f.clientLog.Printf("sessions: %d client connections are open, rejecting one more", len(f.clients.all))
+		if len(f.clients.all) >= limits.Clients+limits.Clients/8+1 {
 			return nil, nil, gnet.Close
 		}
 		f.clients.all[c] = struct{}{}
@@ -210,9 +215,11 @@
 	return c, nil, gnet.None
 }
 
+// retryAfter returns the configured retry delay as the detail of a rejection.
 func (f *SessionFront) retryAfter() string { return formatRetryAfter(f.limits.Load().RetryAfterMillis) }
 
-// formatRetryAfter is the detail that says when to come back, in milliseconds; "" where there is none.
+// formatRetryAfter returns the detail of a rejection: after how many milliseconds to retry, or "" for no such
+// advice.
 func formatRetryAfter(after float64) string {
 	if after <= 0 {
 		return ""
@@ -220,7 +227,7 @@
 	return strconv.Itoa(int(after + 0.999))
 }
 
-// Drain says that the process is to end: clients go between transactions.
+// Drain begins the shutdown: clients are disconnected between transactions.
 func (f *SessionFront) Drain() {
 	f.onLoop(func() {
 		f.draining = true
@@ -230,7 +237,7 @@
 	})
 }
 
-// Cut ends every client with an error; what it has open is rolled back with its server connection.
+// Cut disconnects every client with an error. Closing its server connection rolls back an open transaction.
 func (f *SessionFront) Cut() {
 	f.onLoop(func() {
 		f.terminating = true
@@ -246,7 +253,7 @@
 	})
 }
 
-// Sweep does what is due by time; call it every SweepInterval.
+// Sweep enforces timeouts and limits; it has to be called every SweepInterval.
 func (f *SessionFront) Sweep() { f.onLoop(f.sweep) }
 
 func (f *SessionFront) sweep() {
@@ -262,33 +269,37 @@
 	f.boundUnsent(unsent)
 }
 
-// sweepHost sends sessions that have waited for too long for a host's connections, or in vain, elsewhere, and retires
-// connections that are not used.
+// sweepHost rejects sessions that have waited for too long for a connection to the host, routes waiting
+// sessions again if the host is draining, and closes connections that have been idle for too long.
 func (f *SessionFront) sweepHost(h *sessionHost, now float64) {
 	isActive := true
 	for _, p := range h.pools {
 		if p.queue.Len() > 0 {
 			p.queue.Expire(now, func(w *session.Waiter) { w.Owner.(*sessionClient).waitExpired() })
-			if isActive = isActive && f.dispatcher.IsActive(h.name); !isActive { // it drains: who waits for it chooses anew
+			// The sessions that wait for a draining host are routed again.
+			if isActive = isActive && f.dispatcher.IsActive(h.name); !isActive {
 				p.rerouteWaiters()
 			}
 		}
-		if p.queue.Len() > 0 { // capacity may have come to be elsewhere
+		// Another pool may have released connections that count towards the shared limit.
+		if p.queue.Len() > 0 {
 			p.serveWaiters(f)
 		}
 		f.sweepIdle(p, now)
 	}
 }
 
-// rerouteWaiters has all sessions that wait for the pool's connections choose anew.
+// rerouteWaiters routes all sessions again that wait for a connection of the pool.
 func (p *serverPool) rerouteWaiters() {
 	for w := p.queue.Next(0, nil); w != nil; w = p.queue.Next(0, nil) {
 		w.Owner.(*sessionClient).retryRouting(dispatch.NeverBegun(dispatch.NotSent))
 	}
 }
 
-// boundUnsent cuts off the clients that take their answers slowest, until the bytes that are unsent to all are within their
-// bound: a source is paused for each, but one whose transaction has ended retains what it has not read.
+// boundUnsent disconnects the clients with the most unsent bytes until the total is within
+// SessionLimits.Bytes. Pausing the server connection bounds the unsent bytes of one client while its
+// transaction runs; after the transaction the client still holds what it has not read, so the total needs a
+// bound of its own.
 func (f *SessionFront) boundUnsent(unsent int) {
 	for limit := f.limits.Load().Bytes; limit > 0 && unsent > limit; {
 		var slowest *sessionClient
@@ -301,13 +312,14 @@
 			return
 		}
 		unsent -= slowest.wire.UnsentBytes()
-		f.clientLog.Printf("sessions: a client is cut off with %d bytes that it does not take, %d of all clients", slowest.wire.UnsentBytes(), unsent)
+		f.clientLog.Printf("sessions: disconnecting a slow client with %d unsent bytes, %d remain for the other clients", slowest.wire.UnsentBytes(), unsent)
 		slowest.disconnected = true
 		slowest.wire.Close()
 	}
 }
 
-// hash is of one reported parameter; the sum over all tells two sets apart.
+// hash returns the hash of one reported parameter. The fingerprint of a set is the sum of its parameters'
+// hashes.
 func (f *SessionFront) hash(name, value string) uint64 {
 	var h maphash.Hash
 	h.SetSeed(f.parameters.seed)
--- a/internal/net/pg/session_limits.go
+++ b/internal/net/pg/session_limits.go
@@ -6,47 +6,49 @@
 	"ashstand/internal/session"
 )
 
-// Mode is for how long a session keeps a server connection.
+// Mode says for how long a session keeps a server connection.
 type Mode string
 
-// The modes. Statement mode is that of Front, which is another listener.
+// The modes. Statement mode is served by Front, on another listener.
 const (
 	Transaction Mode = "transaction"
 	Session     Mode = "session"
 )
 
-// PoolSettings are what the operator's file says of the sessions of a database and user.
+// PoolSettings are the configuration of the sessions of a database and user.
 type PoolSettings struct {
-	Name                    string // for operators
+	Name                    string // shown to operators
 	Database, User          string // "*": any
 	Mode                    Mode
-	Sizes                   session.Sizes // for each host
-	ReservedForSticky       int           // of Sizes.Most, kept for sessions that are pinned or in session mode
+	Sizes                   session.Sizes // limits for each host
+	ReservedForSticky       int           // connections of Sizes.MaxConnections reserved for sticky and session-mode sessions
 	Defaults                session.Defaults
-	WaitTimeoutMillis       float64 // milliseconds that a session may wait for a server connection
-	IdleInTransactionMillis float64 // that a client may leave a transaction open without a word; 0: no bound
-	ServerIdleMillis        float64 // that a server connection may lie unused
-	ServerLifetimeMillis    float64 // and how old it may get; 0: no bound
-	MaxPreparedStatements   int     // prepared on one server connection at the most
-	MaxSticky               int     // sessions that may be pinned; 0: a statement that pins is refused
+	WaitTimeoutMillis       float64 // longest wait of a session for a server connection
+	IdleInTransactionMillis float64 // longest idle time of a client in an open transaction; 0: no limit
+	ServerIdleMillis        float64 // longest idle time of a server connection; 0: no limit
+	ServerLifetimeMillis    float64 // longest lifetime of a server connection; 0: no limit
+	MaxPreparedStatements   int     // statements prepared on one server connection
+	MaxSticky               int     // sticky sessions; 0: a statement that would make a session sticky is rejected
 	MaxPausedTransactions   int     // transactions of one database that may wait while it is paused
-	MaxPauseMillis          float64 // milliseconds after a pause began from which on none waits for it
+	MaxPauseMillis          float64 // time after the start of a pause from which on no transaction waits for its end
 }
 
-// SessionLimits bound the front and list its pools.
+// SessionLimits are the limits of a session front, with its pools and users.
 type SessionLimits struct {
-	Clients               int
-	Servers               int // open or being opened, to all hosts together
-	Bytes                 int // that clients sent and that wait here; as much again for prepared statements
-	Message               int // one message of a client
-	MaxPausedTransactions int // transactions of paused databases that may wait, of all
+	Clients int // client connections
+	Servers int // server connections that are open or being opened, to all hosts together
+	// Bytes bounds the bytes from clients that wait here, the bytes unsent to clients, and the prepared
+	// statements, each of the three separately.
+	Bytes                 int
+	Message               int // bytes of one message from a client
+	MaxPausedTransactions int // transactions that may wait for paused databases, of all databases together
 	RetryAfterMillis      float64
 	ConnectTimeout        time.Duration
-	Pools                 []PoolSettings // the first that fits counts
+	Pools                 []PoolSettings // the first that matches is used
 	Users                 map[string]Verifier
 }
 
-// poolFor is the first that fits.
+// poolFor returns the first pool that matches a database and user; nil: none does.
 func (l *SessionLimits) poolFor(database, user string) *PoolSettings {
 	for i := range l.Pools {
 		p := &l.Pools[i]
@@ -59,10 +61,10 @@
 
 // Bounds of the session front that need no setting.
 const (
-	maxBufferedMessageBytes = 64 << 10  // a server's message is gathered up to this, and streamed beyond
-	highWaterBytes          = 256 << 10 // unsent to a peer, from which on its source is paused
-	lowWaterBytes           = 64 << 10  // unsent to a peer, below which its source goes on
-	resumeInterval          = 5 * time.Millisecond
-	maxReportedParameters   = 256 // that a host may report: one that goes on without end would fill the memory
-	replyMarginMillis       = 4.0 // what a rejection needs at the least to reach its client in time
+	maxBufferedMessageBytes = 64 << 10             // longer messages from a server are streamed
+	highWaterBytes          = 256 << 10            // bytes unsent to a peer above which reads from the other side are paused
+	lowWaterBytes           = 64 << 10             // bytes unsent to a peer below which they are resumed
+	resumeInterval          = 5 * time.Millisecond // between two checks whether paused connections may be resumed
+	maxReportedParameters   = 256                  // a host that reports parameters without end would exhaust the memory
+	replyMarginMillis       = 4.0                  // least time that a rejection needs to reach its client before the deadline
 )
--- a/internal/net/pg/session_link.go
+++ b/internal/net/pg/session_link.go
@@ -10,7 +10,8 @@
 	"ashstand/internal/session"
 )
 
-// attach links the client to a server connection, unless the reasons for which its host was chosen are no longer true.
+// attach links the client to a server connection. If the routing decision or the tenant's assignment no
+// longer holds, it returns the connection to its pool and routes the transaction again.
 func (c *sessionClient) attach(s *serverConn) {
 	if c.routing.call != nil && !c.routing.call.Revalidate() {
 		s.returnToPool()
@@ -41,51 +42,54 @@
 	}
 }
 
-// restoreSettings brings the connection to the session's settings, in one round trip.
+// restoreSettings applies the session's settings to the server connection, in one round trip.
 func (c *sessionClient) restoreSettings(s *serverConn) {
-	have := s.settings
+	current := s.settings
 	if c.pipeline.NeedsRestore() {
-		have = c.pipeline.SettingsOnServer()
+		current = c.pipeline.SettingsOnServer()
 	}
-	changes := session.RestoreQuery(have, c.pipeline.Settings())
+	restoreQuery := session.RestoreQuery(current, c.pipeline.Settings())
 	c.phase = phaseRestoring
 	c.input.blocked = true
 	c.front.stats.SettingsRestored++
 	c.pipeline.SettingsSent()
-	s.wire.Write(appendQuery(nil, func(b []byte) []byte { return append(b, changes...) }))
+	s.wire.Write(appendQuery(nil, func(b []byte) []byte { return append(b, restoreQuery...) }))
 }
 
-// settingsRestored says that the settings hold on the connection, or that a host would not have them.
+// settingsRestored handles the host's answer to restoreSettings. failed: the host rejected the settings.
 func (c *sessionClient) settingsRestored(s *serverConn, failed bool) error {
-	if failed && strings.HasPrefix(c.recovery.settingsError, sqlStateQueryCanceled) { // a cancel of the session's last query
+	// A late cancel request for the session's previous query hit the restore.
+	if failed && strings.HasPrefix(c.recovery.settingsError, sqlStateQueryCanceled) {
 		c.recovery.settingsError = ""
 		c.restoreSettings(s)
 		return nil
 	}
 	if failed {
-		// Of a startup parameter the client learns as from a server; all others a host took once.
+		// All other settings were accepted by a host before, so this is a startup parameter: the client gets
+		// the error that a server gives at startup.
 		text := c.recovery.settingsError
 		if c.recovery.settingsError = ""; text == "" {
 			text = "22023 the session's settings can't be restored"
 		}
 		c.unlinkServer(s)
 		s.retired = true
-		state, words, _ := strings.Cut(text, " ")
-		if c.closeWithError(state, words, "") == gnet.Close {
+		state, message, _ := strings.Cut(text, " ")
+		if c.closeWithError(state, message, "") == gnet.Close {
 			c.wire.Close()
 		}
 		return errHostClosing
 	}
 	s.settings = c.pipeline.Settings()
 	c.pipeline.Restored()
-	if c.routing.cancelRequested && c.routing.call != nil && !s.requestSent { // before anything that would choose again
+	// A cancel is handled before the cases below, which would route the transaction again.
+	if c.routing.cancelRequested && c.routing.call != nil && !s.requestSent {
 		c.unlinkServer(s)
 		c.applyCancel()
 		s.returnToPool()
 		c.resume()
 		return nil
 	}
-	if c.routing.call != nil && !s.requestSent && !c.routing.call.Revalidate() { // nothing of the client's was sent
+	if c.routing.call != nil && !s.requestSent && !c.routing.call.Revalidate() { // nothing from the client was sent
 		c.unlinkServer(s)
 		s.returnToPool()
 		c.retryRouting(dispatch.NeverBegun(dispatch.NotSent))
@@ -106,7 +110,8 @@
 	return nil
 }
 
-// completeLink tells the client what is reported otherwise on this connection.
+// completeLink marks the client as linked and reports the server parameters that differ on this connection to
+// it.
 func (c *sessionClient) completeLink(s *serverConn) {
 	c.phase = phaseLinked
 	if c.notifiedParameters == s.parameters || c.notifiedParameters.fingerprint == s.parameters.fingerprint {
@@ -123,7 +128,8 @@
 	c.writeClient(out)
 }
 
-// transactionReady takes a ReadyForQuery: what the first of a transaction tells the decisions, and how far a commit has come.
+// transactionReady handles a ReadyForQuery. The first one of a transaction ends its routing call with the
+// outcome; one after a write raises the session's minimum position.
 func (c *sessionClient) transactionReady(s *serverConn, status byte) {
 	c.notifiedParameters = s.parameters
 	c.retention.transactionBegun = false
@@ -139,21 +145,22 @@
 			c.finishRelease()
 		}
 	}
-	// A read by a class of reads moves nothing: else each would ask the next one's replica for the present.
+	// A read in a read class does not raise the minimum position: otherwise every read would require the next
+	// replica to be up to date with the present.
 	if status == statusIdle && (c.pipeline.TakeWrote() || c.routing.writeClass) && !c.routing.readOnly && c.front.disabledGuarantee.Load() != "position" {
-		at := s.report.position
-		if at == 0 { // the host does not say: a commit is no younger than its answer
-			at = c.front.clock.Now()
+		position := s.report.position
+		if position == 0 { // the host reported none: the commit is not later than its answer
+			position = c.front.clock.Now()
 		}
-		c.routing.minPosition = max(c.routing.minPosition, math.Ceil(at))
+		c.routing.minPosition = max(c.routing.minPosition, math.Ceil(position))
 	}
 	s.report.position, s.report.role = 0, ""
 }
 
-// releaseServer gives the connection back after a transaction, unless the session keeps it.
+// releaseServer returns the connection to its pool after a transaction, unless the session keeps it.
 func (c *sessionClient) releaseServer(s *serverConn) {
 	f := c.front
-	if c.pipeline.StateUnknown() { // nobody knows what holds there
+	if c.pipeline.StateUnknown() { // the settings on the connection are not known
 		c.unlinkServer(s)
 		c.pipeline.Lost()
 		s.retired = true
@@ -163,25 +170,25 @@
 		return
 	}
 	c.countRetained(s)
-	listed := c.isHostListed(s)
-	pinned := c.pipeline.StickyCause() != ""
-	moved := c.tenancy.tenant != nil && c.retention.counted && c.isAssignmentMoved()
+	isListed := c.isHostListed(s)
+	isSticky := c.pipeline.StickyCause() != ""
+	isMoved := c.tenancy.tenant != nil && c.retention.counted && c.isAssignmentMoved()
 	switch {
 	case f.draining:
 		c.closeIfIdle()
 		if c.disconnected {
 			return
 		}
-	case pinned && moved:
+	case isSticky && isMoved:
 		if c.abandonMovedHost(s) == gnet.Close {
 			c.wire.Close()
 		}
 		return
-	case pinned && !listed:
+	case isSticky && !isListed:
 		c.abandonDrainingHost(s)
 		c.resume()
 		return
-	case pinned, c.pool.Mode == Session && listed && !c.routing.misplaced && !moved:
+	case isSticky, c.pool.Mode == Session && isListed && !c.routing.misplaced && !isMoved:
 		if c.input.blocked || c.wire.BufferedBytes() > 0 {
 			c.resume()
 		}
@@ -189,20 +196,21 @@
 	}
 	c.unlinkServer(s)
 	c.phase = phaseUnlinked
-	more := c.wire.BufferedBytes() > 0
+	hasInput := c.wire.BufferedBytes() > 0
 	s.returnToPool()
-	if more || c.input.blocked {
+	if hasInput || c.input.blocked {
 		c.resume()
 	}
 }
 
-// isHostListed reports whether new work may go to a connection's host.
+// isHostListed reports whether new transactions may be sent to a connection's host.
 func (c *sessionClient) isHostListed(s *serverConn) bool {
 	return s.pool.host.address != "" && c.front.dispatcher.IsActive(s.pool.host.name)
 }
 
-// abandonDrainingHost gives up a connection that the session kept, between transactions, since its host drains. What
-// binds the session to it can't be carried; the next statement gets an error that says so.
+// abandonDrainingHost unlinks a session between transactions from the connection that it kept, because the
+// host is draining. The state of a sticky session can't be moved to another connection: the next statement
+// gets an error that says so.
 func (c *sessionClient) abandonDrainingHost(s *serverConn) {
 	if cause := c.pipeline.StickyCause(); cause != "" {
 		c.recovery.pendingError = &session.ErrorReply{SQLState: sqlStateConnectionFailure, Text: "the db host drains; the session's " + string(cause) + " is lost with its connection"}
@@ -216,18 +224,18 @@
 	s.returnToPool()
 }
 
-// detach releases whatever the client has or waits for. A connection on which something is open or due ends, and the
-// host rolls back what is not committed.
+// detach releases what the client holds or waits for. A server connection with an open transaction or pending
+// replies is closed, and the host rolls back what is not committed.
 func (c *sessionClient) detach() {
 	c.routing.waiter.Dequeue()
 	c.dequeue()
 	if s := c.server; s != nil {
-		clean := c.pipeline.Idle() && c.phase == phaseLinked && c.pipeline.StickyCause() == "" && !c.pipeline.StateUnknown() && !s.handlingTraffic
+		isReusable := c.pipeline.Idle() && c.phase == phaseLinked && c.pipeline.StickyCause() == "" && !c.pipeline.StateUnknown() && !s.handlingTraffic
 		c.unlinkServer(s)
 		switch {
-		case clean:
+		case isReusable:
 			s.returnToPool()
-		case s.handlingTraffic: // from within the connection's own Traffic, which ends it
+		case s.handlingTraffic: // called from within the connection's own Traffic, which closes it afterwards
 			s.retired = true
 		default:
 			s.retired = true
@@ -241,7 +249,7 @@
 	}
 }
 
-// unlinkServer parts the client from its server connection.
+// unlinkServer separates the client from its server connection.
 func (c *sessionClient) unlinkServer(s *serverConn) {
 	s.settings = c.pipeline.SettingsOnServer()
 	s.session, c.server = nil, nil
@@ -250,7 +258,7 @@
 	c.uncountRetained(s)
 }
 
-// countRetained counts a session that does not give its connection back.
+// countRetained counts a session that keeps its connection after the transaction, in its pool and by the cause.
 func (c *sessionClient) countRetained(s *serverConn) {
 	cause := c.pipeline.StickyCause()
 	if cause != "" && c.retention.stickyCause == "" {
@@ -263,7 +271,7 @@
 	}
 }
 
-// uncountRetained takes back what countRetained counted.
+// uncountRetained reverses countRetained.
 func (c *sessionClient) uncountRetained(s *serverConn) {
 	if c.retention.counted {
 		c.retention.counted = false
--- a/internal/net/pg/session_lost_block.go
+++ b/internal/net/pg/session_lost_block.go
@@ -6,8 +6,9 @@
 	"ashstand/internal/session"
 )
 
-// handleLostBlock takes a message where the connection was lost in a block, or with state that can't be carried: the first
-// statement learns of it, and a block has failed until its end.
+// handleLostBlock processes a message after the server connection was lost in a transaction block, or with
+// state that can't be moved to another connection. The first statement gets the pending error, and a block
+// counts as failed until it ends.
 func (c *sessionClient) handleLostBlock(kind byte, body []byte) disposition {
 	switch kind {
 	case clientQuery:
@@ -52,7 +53,7 @@
 	return messageAnswered
 }
 
-// failInLostBlock gives the client the error that is pending, else that the block has failed.
+// failInLostBlock sends the client the pending error, if any, and otherwise the error of a failed block.
 func (c *sessionClient) failInLostBlock() {
 	reply := c.recovery.pendingError
 	if c.recovery.pendingError = nil; reply == nil {
@@ -61,7 +62,7 @@
 	c.writeClient(appendError(nil, severityError, reply.SQLState, reply.Text, ""))
 }
 
-// errorInFailedBlock is what a server answers to a statement in a block that has failed.
+// errorInFailedBlock is the error with which a server answers a statement in a failed block.
 func errorInFailedBlock() *session.ErrorReply {
 	return &session.ErrorReply{
 		SQLState: session.SQLStateInFailedBlock,
@@ -69,6 +70,7 @@
 	}
 }
 
+// queryInLostBlock answers a simple query: an empty one and one that ends the block succeed, all others fail.
 func (c *sessionClient) queryInLostBlock(body []byte) disposition {
 	text, _, ok := cutString(body)
 	if !ok {
@@ -90,7 +92,8 @@
 	return messageAnswered
 }
 
-// parseInLostBlock prepares a statement that a failed block may run. false: it may not, or there is no memory for it.
+// parseInLostBlock prepares a statement that a failed block may run. It returns false if the block may not
+// run the statement, or if there is no memory for it.
 func (c *sessionClient) parseInLostBlock(name, text string, types []byte) bool {
 	query := session.Scan(text)
 	if !c.pipeline.BlockLost() || !query.EndsBlock() && len(query.Statements) > 0 {
@@ -106,20 +109,22 @@
 	return true
 }
 
-// mayRunInLostBlock reports whether a failed block may run a prepared statement: it ends the block, or is empty.
+// mayRunInLostBlock reports whether a failed block may run a prepared statement: one that ends the block or
+// is empty.
 func (c *sessionClient) mayRunInLostBlock(prepared *session.Prepared) bool {
 	return c.pipeline.BlockLost() && (prepared.Query.EndsBlock() || len(prepared.Query.Statements) == 0)
 }
 
-// rejectMissingStatement answers a message that names a statement which does not exist.
+// rejectMissingStatement answers a message that names a prepared statement which does not exist.
 func (c *sessionClient) rejectMissingStatement(name string) {
 	text := "prepared statement " + strconv.Quote(name) + " does not exist"
 	c.writeClient(appendError(nil, severityError, sqlStateInvalidStatementName, text, ""))
 	c.pipeline.SkipUntilSync()
 }
 
-// findForLostBlock returns a prepared statement that a failed block may run, else nil. isAnswered: the client has been told that there
-// is no such statement; otherwise the block's error is the answer.
+// findForLostBlock returns a prepared statement that a failed block may run, or nil. With nil, isAnswered
+// says that the client was told that there is no such statement; otherwise the error of the block remains to
+// be sent.
 func (c *sessionClient) findForLostBlock(name string) (prepared *session.Prepared, isAnswered bool) {
 	prepared = c.pipeline.Find(name)
 	if prepared == nil {
@@ -132,8 +137,9 @@
 	return prepared, false
 }
 
-// describeInLostBlock describes what a failed block may run, which takes no parameters and gives no rows. A server looks up
-// nothing else in a failed block; false: the block's error is the answer.
+// describeInLostBlock describes a statement or portal that a failed block may run, which has no parameters
+// and returns no rows. A server describes nothing else in a failed block. It returns false if the block's
+// error remains to be sent.
 func (c *sessionClient) describeInLostBlock(target byte, name string) bool {
 	if target == targetStatement {
 		prepared, isAnswered := c.findForLostBlock(name)
@@ -148,7 +154,8 @@
 	return true
 }
 
-// bindInLostBlock answers a Bind of a statement that does not exist, or that a failed block may run.
+// bindInLostBlock answers a Bind of a statement that does not exist, or that a failed block may run. It
+// returns false if the block's error remains to be sent.
 func (c *sessionClient) bindInLostBlock(portal, name string) bool {
 	prepared, isAnswered := c.findForLostBlock(name)
 	if prepared == nil {
@@ -159,7 +166,7 @@
 	return true
 }
 
-// closeInLostBlock closes a statement or a portal, which a failed block may do.
+// closeInLostBlock closes a statement or a portal, which is allowed in a failed block.
 func (c *sessionClient) closeInLostBlock(body []byte) disposition {
 	target, name, ok := cutTarget(body)
 	if !ok {
@@ -175,7 +182,8 @@
 	return messageAnswered
 }
 
-// executeInLostBlock runs a portal that bindInLostBlock made.
+// executeInLostBlock executes a portal that bindInLostBlock created. It returns false if there is none of
+// that name.
 func (c *sessionClient) executeInLostBlock(body []byte) bool {
 	portal, _, ok := cutString(body)
 	endsBlock, bound := c.recovery.lostPortals[portal]
--- a/internal/net/pg/session_messages.go
+++ b/internal/net/pg/session_messages.go
@@ -9,18 +9,18 @@
 	"ashstand/internal/session"
 )
 
-// disposition is what became of a message of a client that has no server connection.
+// disposition is the result of processing a message from a client that has no server connection.
 type disposition uint8
 
 const (
-	messageAnswered  disposition = iota // it was answered here
-	messageWaiting                      // it waits for a connection
-	messageMalformed                    // it can't be read
-	messageLinked                       // the connection is there by now
+	messageAnswered  disposition = iota // the pooler answered it
+	messageWaiting                      // it waits for a server connection
+	messageMalformed                    // it can't be parsed
+	messageLinked                       // the client has a server connection now
 )
 
-// handleMessage takes one message and appends what goes to the server. wait: it stays where it is until something that is
-// under way is done.
+// handleMessage processes one message and appends to out what goes to the server. wait: the message stays in
+// the input until an operation that is under way is done.
 func (c *sessionClient) handleMessage(out []byte, kind byte, body, message []byte) (_ []byte, wait bool, _ gnet.Action) {
 	if strings.IndexByte(clientKinds, kind) < 0 {
 		out = c.writeServer(out)
@@ -32,7 +32,7 @@
 	}
 	if s := c.server; c.beginsTransaction(kind) && !c.isHostListed(s) {
 		out = c.writeServer(out)
-		c.abandonDrainingHost(s) // a new transaction does not begin on a host that drains
+		c.abandonDrainingHost(s) // a new transaction must not begin on a draining host
 	}
 	if c.tenancy.tenant != nil && !c.retention.transactionBegun && c.beginsTransaction(kind) {
 		out = c.writeServer(out)
@@ -54,9 +54,10 @@
 			return out, true, gnet.None
 		}
 	}
-	// The settings that RESET took from the session are put right before anything else runs.
+	// RESET gave the connection the values of its own startup. The session's are restored before anything
+	// else runs.
 	if c.pipeline.NeedsRestore() && kind != clientSync && kind != clientFlush && c.pipeline.Expected() == 0 && !c.pipeline.CopyIn() {
-		if out = c.writeServer(out); c.server != nil { // else the write has failed, and what that means was said
+		if out = c.writeServer(out); c.server != nil { // otherwise the write failed, and the loss was already handled
 			c.restoreSettings(c.server)
 		}
 		return out, true, gnet.None
@@ -67,7 +68,8 @@
 	return c.relayMessage(out, kind, body, message)
 }
 
-// relayMessage appends a message of a client that is linked, in the form in which it goes to the server.
+// relayMessage appends a message of a linked client in the form in which it goes to the server, and sends the
+// replies that are the pooler's to give.
 func (c *sessionClient) relayMessage(out []byte, kind byte, body, message []byte) (_ []byte, wait bool, _ gnet.Action) {
 	before := len(out)
 	out, ok := c.forwardMessage(out, kind, body, message)
@@ -81,17 +83,18 @@
 	return out, false, gnet.None
 }
 
-// beginsTransaction reports whether a message begins a transaction on the connection to which the client is linked.
+// beginsTransaction reports whether a message begins a transaction on the connection to which the client is
+// linked.
 func (c *sessionClient) beginsTransaction(kind byte) bool {
 	return c.server != nil && c.routing.call == nil && c.pipeline.Idle() && kind != clientSync && kind != clientFlush
 }
 
-// closeMalformed ends a client that sent a message of a known kind in no form of that kind.
+// closeMalformed disconnects a client that sent a malformed message of a known kind.
 func (c *sessionClient) closeMalformed(kind byte) gnet.Action {
 	return c.closeWithError(sqlStateProtocolViolation, fmt.Sprintf("message %q is not in its form", kind), "")
 }
 
-// handleUnlinked takes a message of a client that has no server connection.
+// handleUnlinked processes a message of a client that has no server connection.
 func (c *sessionClient) handleUnlinked(kind byte, body []byte) disposition {
 	switch kind {
 	case clientSync:
@@ -117,14 +120,14 @@
 	switch {
 	case c.server != nil && c.phase == phaseLinked:
 		return messageLinked
-	case c.disconnected || c.phase == phaseUnlinked: // it was rejected at once
+	case c.disconnected || c.phase == phaseUnlinked: // the transaction was rejected at once
 		return messageAnswered
 	}
 	return messageWaiting
 }
 
-// queryToRoute is the query by which the transaction that a message begins is routed. nil: the message needs no server,
-// or can't be read, as the second result says.
+// queryToRoute returns the query by which the transaction that a message begins is routed. It returns nil if
+// the message needs no server or can't be parsed; the second result says which.
 func (c *sessionClient) queryToRoute(kind byte, body []byte) (*session.Query, disposition) {
 	query := &session.Query{}
 	switch kind {
@@ -172,7 +175,8 @@
 	return query, messageWaiting
 }
 
-// statementNamed is the statement that a Describe names; nil: it names a portal, or a statement that is not there.
+// statementNamed returns the statement that a Describe names, or nil if it names a portal or an unknown
+// statement.
 func (c *sessionClient) statementNamed(body []byte) *session.Prepared {
 	name, _, ok := cutString(body[1:])
 	if !ok || body[0] != targetStatement {
@@ -181,7 +185,7 @@
 	return c.pipeline.Find(name)
 }
 
-// answerLocally answers a query that needs no server.
+// answerLocally answers a query that needs no server, and reports whether it did.
 func (c *sessionClient) answerLocally(query *session.Query) bool {
 	var out []byte
 	switch {
@@ -208,5 +212,5 @@
 	return true
 }
 
-// writeReady tells the client the status of its transaction.
+// writeReady sends the client a ReadyForQuery with its transaction status.
 func (c *sessionClient) writeReady() { c.writeClient(appendReadyForQuery(nil, c.pipeline.Status())) }
--- a/internal/net/pg/session_recovery.go
+++ b/internal/net/pg/session_recovery.go
@@ -7,11 +7,12 @@
 	"ashstand/internal/session"
 )
 
-// serverLost takes the loss of the server connection. The client stays.
+// serverLost handles the loss of the server connection. The client stays connected, except where the
+// connection broke within a message that is being streamed to it.
 func (c *sessionClient) serverLost(s *serverConn) {
 	c.server = nil
 	c.uncountRetained(s)
-	if c.phase == phaseRejectedByHost { // nothing of it ran
+	if c.phase == phaseRejectedByHost { // nothing of the transaction ran
 		c.pipeline.Lose(false)
 		c.replayElsewhere(nil)
 		return
@@ -22,7 +23,7 @@
 	sticky := c.pipeline.StickyCause()
 	restoring := c.phase == phaseRestoring
 	c.phase = phaseUnlinked
-	if restoring && !c.pipeline.InBlock() && c.routing.call != nil { // nothing of the client's was sent
+	if restoring && !c.pipeline.InBlock() && c.routing.call != nil { // nothing from the client was sent
 		c.rerouteRestoring()
 		return
 	}
@@ -33,7 +34,7 @@
 		call.Finish(dispatch.Outcome{Code: dispatch.ConnectionLost})
 	}
 	c.countLoss(&loss)
-	if cutWithinMessage { // the client can't be told within a value that was cut in the middle
+	if cutWithinMessage { // no error can be sent in the middle of a message
 		c.disconnected = true
 		c.wire.Close()
 		return
@@ -42,7 +43,8 @@
 	c.resume()
 }
 
-// rerouteRestoring routes a transaction anew whose connection was lost while it was brought to the session's settings.
+// rerouteRestoring routes a transaction again whose connection was lost while the session's settings were
+// being restored.
 func (c *sessionClient) rerouteRestoring() {
 	c.pipeline.Lose(false)
 	if c.applyCancel() {
@@ -57,6 +59,7 @@
 	}
 }
 
+// countLoss counts a loss by what it means to the client.
 func (c *sessionClient) countLoss(loss *session.Loss) {
 	f := c.front
 	switch {
@@ -64,14 +67,16 @@
 		f.stats.LostUnnoticed++
 	case loss.SQLState == session.SQLStateInDoubt:
 		f.stats.LostInDoubt++
-		// Whoever looks whether it happened must not be shown an older state: it is no younger than now.
+		// The commit may have happened, at the latest now. A client that checks for it must not read an older
+		// state.
 		c.routing.minPosition = max(c.routing.minPosition, math.Ceil(f.clock.Now()))
 	default:
 		f.stats.LostSafe++
 	}
 }
 
-// reportLoss tells the client of a loss, now or with its next statement. sticky is what bound the session to the connection.
+// reportLoss reports a loss to the client, now or with its next statement. sticky is why the session was
+// bound to the connection; empty: it was not.
 func (c *sessionClient) reportLoss(loss *session.Loss, sticky session.StickyCause) {
 	var out []byte
 	switch {
@@ -90,7 +95,7 @@
 			Text:     "the connection to the db host was lost, and with it the session's " + string(sticky),
 		}
 	}
-	if !loss.Silent { // what of the settings it was told may have been rolled back: tell it all again
+	if !loss.Silent { // reported settings may have been rolled back: report all of them again
 		c.notifiedParameters = &parameterSet{}
 	}
 	c.writeClient(out)
--- a/internal/net/pg/session_replay.go
+++ b/internal/net/pg/session_replay.go
@@ -5,33 +5,34 @@
 	"ashstand/internal/session"
 )
 
-// statementRecord is a copy of a transaction's first statement, for the case that its host rejects it since the tenant is
-// closed there. The event loop owns it.
+// statementRecord is a copy of a transaction's first statement. It is replayed if the host rejects the
+// statement because the tenant is fenced there. The event loop owns it.
 type statementRecord struct {
 	active     bool   // the first statement is being recorded
-	unanswered bool   // and the client was told nothing of it
-	messages   []byte // what is recorded
-	statements int    // that run in it
-	replay     []byte // what a host rejected, to be taken before anything else
+	unanswered bool   // nothing was sent to the client since the recording began
+	messages   []byte // the recorded messages
+	statements int    // recorded messages that execute a statement
+	replay     []byte // messages that a host rejected; they are processed before any other input
 }
 
-const maxRetainedRecordBytes = 4 << 10 // most statements are shorter: a larger buffer is not retained
+const maxRetainedRecordBytes = 4 << 10 // most statements are shorter; larger buffers are not retained
 
-// recordMessage copies a message of a transaction's first statement, for the case that the host rejects the transaction
-// since the tenant is closed there.
+// recordMessage adds a message of a transaction's first statement to the record. It discards the record if
+// the statement can't be replayed: the messages hold more than one statement, name one in a Parse, are of
+// another kind, or exceed a limit.
 func (c *sessionClient) recordMessage(kind byte, body, message []byte) {
 	f := c.front
-	ok := true
+	isRecordable := true
 	switch kind {
 	case clientQuery, clientExecute:
 		c.record.statements++
 	case clientParse:
-		ok = len(body) > 0 && body[0] == 0
+		isRecordable = len(body) > 0 && body[0] == 0
 	case clientBind, clientDescribe, clientSync:
 	default:
-		ok = false
+		isRecordable = false
 	}
-	if !ok || c.record.statements > 1 || len(c.record.messages)+len(message) > maxBufferedMessageBytes || f.tenancy.recordedBytes+len(message) > f.limits.Load().Bytes/4 {
+	if !isRecordable || c.record.statements > 1 || len(c.record.messages)+len(message) > maxBufferedMessageBytes || f.tenancy.recordedBytes+len(message) > f.limits.Load().Bytes/4 {
 		c.discardRecorded()
 		return
 	}
@@ -42,7 +43,7 @@
 	f.tenancy.recordedBytes += len(message)
 }
 
-// discardRecorded drops the copy.
+// discardRecorded drops the record.
 func (c *sessionClient) discardRecorded() {
 	c.front.tenancy.recordedBytes -= len(c.record.messages)
 	if c.record.messages, c.record.statements, c.record.active = c.record.messages[:0], 0, false; cap(c.record.messages) > maxRetainedRecordBytes { // most statements are shorter
@@ -50,14 +51,15 @@
 	}
 }
 
-// isTenantClosedError reports whether an error is the guard's rejection of a statement that may be run again: it was raised before
-// anything was written, the statement's transaction is its own, and the client was sent nothing of it.
+// isTenantClosedError reports whether an error is the fencing trigger's rejection of a statement that may be
+// replayed: it was raised before anything was written, the statement is a transaction of its own, and the
+// client has received nothing of it.
 func (c *sessionClient) isTenantClosedError(state, text string) bool {
 	return c.record.active && c.record.unanswered && c.routing.call != nil && state == sqlStateTenantClosed && text == tenantClosedMessage && c.pipeline.Status() == statusIdle && !c.pipeline.InBlock() &&
 		c.isReplayable()
 }
 
-// isReplayable reports whether what was recorded runs completely or not at all.
+// isReplayable reports whether the recorded statement takes effect completely or not at all.
 func (c *sessionClient) isReplayable() bool {
 	for b := c.record.messages; len(b) > 0; {
 		kind, body, rest, ok, err := nextMessage(b, maxBufferedMessageBytes)
@@ -78,8 +80,8 @@
 	return false
 }
 
-// replayElsewhere brings a transaction that a host rejected back to where it was before a host was chosen: it is routed by the
-// assignment that holds by now, or waits for another one. s is nil where the connection is lost.
+// replayElsewhere returns a transaction that a host rejected to its state before a host was chosen. It is
+// then routed by the present assignment, or waits until that changes. s is nil if the connection was lost.
 func (c *sessionClient) replayElsewhere(s *serverConn) {
 	f := c.front
 	call := c.routing.call
@@ -95,7 +97,7 @@
 		c.unlinkServer(s)
 		s.returnToPool()
 	}
-	if c.routing.cancelRequested { // it was cancelled before its host had said all
+	if c.routing.cancelRequested { // the cancel request came before the host's ReadyForQuery
 		c.routing.cancelRequested, c.input.pendingKind = false, c.record.replay[0]
 		c.rejectCancelled()
 	}
--- a/internal/net/pg/session_routing.go
+++ b/internal/net/pg/session_routing.go
@@ -8,9 +8,9 @@
 	"ashstand/internal/session"
 )
 
-// reject gives an error to the message under way, where there is no server connection: nothing of it ran.
+// reject answers the message being processed with an error before any part of it was sent to a host.
 func (c *sessionClient) reject(sqlState, text, detail string) {
-	if c.phase = phaseUnlinked; c.server != nil { // it keeps its connection
+	if c.phase = phaseUnlinked; c.server != nil { // the session keeps its connection
 		c.phase = phaseLinked
 	}
 	c.routing.query = nil
@@ -18,7 +18,8 @@
 	c.writeClient(appendError(nil, severityError, sqlState, text, detail))
 }
 
-// finishRejected ends a message that was rejected: a query has its ReadyForQuery, a pipeline is skipped up to Sync.
+// finishRejected ends a message that was rejected: a query gets its ReadyForQuery, a pipeline is skipped up
+// to Sync.
 func (c *sessionClient) finishRejected(kind byte) {
 	if kind == clientQuery || kind == clientFunctionCall {
 		c.writeReady()
@@ -27,7 +28,7 @@
 	}
 }
 
-// consumeRejected takes the message that was rejected out of what the client sent.
+// consumeRejected removes the rejected message from the client's input and ends it.
 func (c *sessionClient) consumeRejected() {
 	b := c.peekInput()
 	_, _, rest, ok, err := nextMessage(b, c.front.limits.Load().Message)
@@ -40,7 +41,7 @@
 	c.input.pendingKind = 0
 }
 
-// routeTransaction begins to route the transaction whose first message, of this kind, holds the query.
+// routeTransaction starts routing a transaction. query comes from its first message, which is of this kind.
 func (c *sessionClient) routeTransaction(query *session.Query, kind byte) {
 	f := c.front
 	route, err := c.pool.Defaults.Route(query, c.isReadOnlyByDefault())
@@ -62,7 +63,7 @@
 	}
 	timeout := session.WaitTimeout(route.WaitMillis, c.pool.WaitTimeoutMillis, replyMarginMillis)
 	c.routing.readOnly, c.routing.writeClass = route.ReadOnly, f.dispatcher.IsWrite(route.Class)
-	if len(c.record.replay) > 0 { // a host rejected it: its time goes on
+	if len(c.record.replay) > 0 { // a host rejected it before: its deadlines still count from its first arrival
 		now = c.routing.request.Arrived
 	} else {
 		c.tenancy.entry.Reset()
@@ -84,13 +85,14 @@
 	c.routeByAssignment()
 }
 
-// isReadOnlyByDefault reports whether the session has default_transaction_read_only on.
+// isReadOnlyByDefault reports whether default_transaction_read_only is on in the session.
 func (c *sessionClient) isReadOnlyByDefault() bool {
 	rendering := c.pipeline.Settings().Rendering("default_transaction_read_only")
 	return strings.HasSuffix(rendering, "TO on") || strings.HasSuffix(rendering, "TO true") || strings.HasSuffix(rendering, "'on', false)")
 }
 
-// sessionKey names the session whose commits a read must see: as the client's comment does, else the connection.
+// sessionKey returns the key of the session whose commits a read must see: the one in the client's comment,
+// or else one for the connection.
 func (c *sessionClient) sessionKey(route *session.Route) string {
 	if route.SessionKey != "" {
 		return route.SessionKey
@@ -98,19 +100,19 @@
 	return "#" + strconv.FormatUint(uint64(c.number), 36)
 }
 
-// pickHost takes the next decision; where there is none yet, a goroutine waits for it.
+// pickHost acts on the next routing decision. If there is none yet, a goroutine waits for it.
 func (c *sessionClient) pickHost() {
 	call := c.routing.call
-	if n, ok := call.TryPick(); ok {
-		c.hostPicked(n)
+	if decision, ok := call.TryPick(); ok {
+		c.hostPicked(decision)
 		return
 	}
 	f := c.front
 	go func() {
-		n := call.Pick()
+		decision := call.Pick()
 		f.onLoop(func() {
 			if c.routing.call == call && !c.disconnected {
-				c.hostPicked(n)
+				c.hostPicked(decision)
 				if c.phase == phaseLinked || c.phase == phaseUnlinked {
 					c.resume()
 				}
@@ -119,7 +121,8 @@
 	}()
 }
 
-// hostPicked does what was decided. Where it is rejected here, the message under way has its answer.
+// hostPicked carries out a routing decision: it takes a server connection, waits for one, or rejects the
+// transaction.
 func (c *sessionClient) hostPicked(decision dispatch.Decision) {
 	f := c.front
 	switch decision.Verdict {
@@ -157,7 +160,7 @@
 	p.openForWaiters(f)
 }
 
-// endRouting gives up the transaction that is being routed.
+// endRouting abandons the routing of the transaction.
 func (c *sessionClient) endRouting() {
 	if call := c.routing.call; call != nil {
 		c.routing.call = nil
@@ -166,21 +169,21 @@
 	c.finishRelease()
 }
 
-// failRouting ends the transaction that is being routed, of which it can't be shown that nothing ran.
+// failRouting fails the transaction that is being routed and that may have run.
 func (c *sessionClient) failRouting(text string) {
 	c.endRouting()
 	c.reject(sqlStateConnectionFailure, text, "")
 	c.consumeRejected()
 }
 
-// rejectRouting rejects the transaction that is being routed: nothing of it ran.
+// rejectRouting rejects the transaction that is being routed and of which nothing ran.
 func (c *sessionClient) rejectRouting(text string, after float64) {
 	c.endRouting()
 	c.rejectUntried(stateTooManyConnections, text, formatRetryAfter(after))
 	c.consumeRejected()
 }
 
-// waitExpired rejects a transaction that has waited for a server connection for as long as it may.
+// waitExpired rejects a transaction whose wait for a server connection has reached its deadline.
 func (c *sessionClient) waitExpired() {
 	if c.disconnected || c.routing.call == nil {
 		return
@@ -192,7 +195,7 @@
 	c.resume()
 }
 
-// retryRouting reports what came of an attempt that never ran and chooses anew.
+// retryRouting reports the outcome of an attempt that never ran and asks for another routing decision.
 func (c *sessionClient) retryRouting(o dispatch.Outcome) {
 	c.routing.waiter.Dequeue()
 	if c.disconnected || c.routing.call == nil {
--- a/internal/net/pg/session_startup.go
+++ b/internal/net/pg/session_startup.go
@@ -11,7 +11,7 @@
 	"ashstand/internal/session"
 )
 
-// initialParameters are the parameters that a client is told before it has a server connection.
+// initialParameters are the server parameters reported to a client before it has a server connection.
 var initialParameters = [...][2]string{
 	{"server_version", "16.0 (ashstand)"},
 	{"server_encoding", "UTF8"},
@@ -22,7 +22,9 @@
 	{"standard_conforming_strings", "on"},
 }
 
-// handleStartup takes the startup message and what belongs to it. used is 0 where that is not complete.
+// handleStartup processes the messages of the startup phase: encryption and cancel requests, the startup
+// message and the authentication. used is the size of the message in bytes; 0: it is not complete, or the
+// client is disconnected.
 func (c *sessionClient) handleStartup(b []byte) (used int, action gnet.Action) {
 	if c.authentication != nil {
 		return c.authenticate(b)
@@ -54,17 +56,18 @@
 	return size, gnet.None
 }
 
-// startupParameters are the names and values of a startup message, behind its header.
+// startupParameters returns the parameters in the body of a startup message.
 func startupParameters(b []byte) map[string]string {
 	parameters := map[string]string{}
-	texts := strings.Split(string(b), "\x00")
-	for i := 0; i+1 < len(texts) && texts[i] != ""; i += 2 {
-		parameters[texts[i]] = texts[i+1]
+	fields := strings.Split(string(b), "\x00")
+	for i := 0; i+1 < len(fields) && fields[i] != ""; i += 2 {
+		parameters[fields[i]] = fields[i+1]
 	}
 	return parameters
 }
 
-// openSession opens the session that a startup message asks for. newerMinor: it names a later minor version than 3.0.
+// openSession opens the session that a startup message requests. newerMinor: the client requests a later
+// minor version than 3.0, and gets a NegotiateProtocolVersion.
 func (c *sessionClient) openSession(parameters map[string]string, newerMinor bool) gnet.Action {
 	f := c.front
 	user, database := parameters["user"], parameters["database"]
@@ -105,7 +108,7 @@
 	return gnet.None
 }
 
-// requestPassword asks for a proof of the password, behind what is in out.
+// requestPassword starts SCRAM authentication. The request is sent after the messages in out.
 func (c *sessionClient) requestPassword(out []byte, limits *SessionLimits) gnet.Action {
 	user := c.identity.user
 	verifier, known := limits.Users[user]
@@ -116,7 +119,7 @@
 	return gnet.None
 }
 
-// startupSettings are the settings that a startup message asks for.
+// startupSettings returns the settings that a startup message requests.
 func startupSettings(parameters map[string]string) (*session.Settings, error) {
 	settings := session.NoSettings
 	set := func(name, value string) {
@@ -139,7 +142,8 @@
 	return settings, nil
 }
 
-// commandLineOptions gives each setting of the parameter "options" to set: -c name=value, -cname=value or --name=value.
+// commandLineOptions calls set for each setting in the startup parameter "options": -c name=value,
+// -cname=value or --name=value.
 func commandLineOptions(options string, set func(name, value string)) error {
 	words := strings.Fields(strings.ReplaceAll(options, `\ `, "\x00"))
 	for i := 0; i < len(words); i++ {
@@ -164,7 +168,8 @@
 	return nil
 }
 
-// completeStartup lets a client in that may come in.
+// completeStartup ends the startup of a client that is authenticated: it sends AuthenticationOk, the
+// parameters, the cancel key and ReadyForQuery.
 func (c *sessionClient) completeStartup() {
 	f := c.front
 	f.assignCancelKey(c)
--- a/internal/net/pg/session_stats.go
+++ b/internal/net/pg/session_stats.go
@@ -8,10 +8,10 @@
 	"ashstand/internal/session"
 )
 
-// statsTimeout is how long an operator's look waits for the event loop.
+// statsTimeout bounds how long Stats waits for the event loop.
 const statsTimeout = time.Second
 
-// SessionStats count what happened since the start.
+// SessionStats are the present state of a session front and its counters since the process started.
 type SessionStats struct {
 	Clients              int                         `json:"clients"`
 	Linked               int                         `json:"linked"`
@@ -37,7 +37,7 @@
 	Hosts                []HostStats                 `json:"hosts"`
 }
 
-// HostStats are of one host, database and user.
+// HostStats are the server connections to one host for one database and user.
 type HostStats struct {
 	Host     string `json:"host"`
 	Database string `json:"database"`
@@ -47,7 +47,7 @@
 	Waiting  int    `json:"waiting"`
 }
 
-// Stats returns what the front holds and did.
+// Stats returns the front's statistics, or empty ones if the event loop does not answer within statsTimeout.
 func (f *SessionFront) Stats() SessionStats {
 	out := make(chan SessionStats, 1)
 	if f.eventLoop.Load() == nil {
@@ -62,7 +62,7 @@
 	}
 }
 
-// collectStats is Stats on the event loop.
+// collectStats implements Stats on the event loop.
 func (f *SessionFront) collectStats() SessionStats {
 	s := f.stats
 	s.Clients, s.Servers = len(f.clients.all), f.servers.count
