--- a/internal/net/pg/execution_test.go
+++ b/internal/net/pg/execution_test.go
@@ -15,9 +15,10 @@
 	"ashstand/internal/sqlcomment"
 )
 
-// Each ending of an exchange, and what it proves. Only an error that is the whole answer, and that fits what was asked, proves that
-// nothing ran; whatever comes behind a part of a result, that ran.
-func TestWhatEachEndingProves(t *testing.T) {
+// Checks what each outcome of an exchange proves about whether the statement ran. Only an error that is the
+// whole answer, and that matches the kind of statement, proves that nothing ran. An error after a part of a
+// result proves that it ran.
+func TestExecutionProvenByEachOutcome(t *testing.T) {
 	const read, write = "/* id=1,c=a,d=900,cluster=1 */ SELECT payload", "/* id=1,c=a,d=900,cluster=1 */ INSERT"
 	described := &pgproto3.RowDescription{Fields: []pgproto3.FieldDescription{{Name: []byte("payload"), DataTypeOID: 17, Format: 1}}}
 	row := &pgproto3.DataRow{Values: [][]byte{{1}}}
@@ -29,10 +30,10 @@
 		return &pgproto3.ErrorResponse{Severity: "FATAL", Code: state, Message: "no"}
 	}
 	type messages = []pgproto3.BackendMessage
-	for _, k := range []struct {
+	for _, testCase := range []struct {
 		name      string
 		text      string
-		says      messages
+		replies   messages
 		code      dispatch.Code
 		execution dispatch.Execution
 	}{
@@ -53,17 +54,17 @@
 		{"no row", write, messages{completed}, dispatch.Malformed, dispatch.Ran},
 		{"reset", write, nil, dispatch.ConnectionLost, dispatch.MayHaveRun},
 	} {
-		t.Run(k.name, func(t *testing.T) {
+		t.Run(testCase.name, func(t *testing.T) {
 			r := start(t, func(c net.Conn, b *pgproto3.Backend) {
 				welcome(b)
 				_, _ = b.Receive()
-				for _, m := range k.says {
+				for _, m := range testCase.replies {
 					b.Send(m)
 				}
-				if len(k.says) > 0 && k.code != dispatch.ConnectionLost {
+				if len(testCase.replies) > 0 && testCase.code != dispatch.ConnectionLost {
 					b.Send(&pgproto3.ReadyForQuery{TxStatus: 'I'})
 				}
-				if b.Flush() != nil || len(k.says) == 0 {
+				if b.Flush() != nil || len(testCase.replies) == 0 {
 					c.Close()
 					return
 				}
@@ -73,35 +74,35 @@
 			defer cancel()
 			c, err := r.Acquire(ctx, "h")
 			require.NoError(t, err)
-			statement, err := sqlcomment.Parse(k.text)
+			statement, err := sqlcomment.Parse(testCase.text)
 			require.NoError(t, err)
-			statement.IsWrite = k.text == write
+			statement.IsWrite = testCase.text == write
 			reply := c.Exchange(ctx, &statement, open)
-			require.Equal(t, k.code.String(), reply.Code.String())
-			require.Equal(t, k.execution.String(), reply.Execution.String())
+			require.Equal(t, testCase.code.String(), reply.Code.String())
+			require.Equal(t, testCase.execution.String(), reply.Execution.String())
 		})
 	}
 }
 
-// A request that is given up before the event loop came to write it was never begun, whatever comes later.
-func TestWhatIsGivenUpBeforeItsWriteWasNotBegun(t *testing.T) {
+// A request that is abandoned before the event loop has written it was never begun, whatever happens later.
+func TestRequestAbandonedBeforeWriteIsNotBegun(t *testing.T) {
 	r := start(t, good)
-	ctx, giveUp := context.WithCancel(context.Background())
+	ctx, abandon := context.WithCancel(context.Background())
 	c, err := r.Acquire(ctx, "h")
 	require.NoError(t, err)
-	busy, goOn := make(chan struct{}), make(chan struct{})
+	loopBlocked, releaseLoop := make(chan struct{}), make(chan struct{})
 	require.NoError(t, c.(*conn).gnetConn.EventLoop().Execute(ctx, gnet.RunnableFunc(func(context.Context) error {
-		close(busy)
-		<-goOn
+		close(loopBlocked)
+		<-releaseLoop
 		return nil
 	})))
-	<-busy
-	asked := make(chan struct{}, 1)
+	<-loopBlocked
+	gateCalls := make(chan struct{}, 1)
 	replies := make(chan edge.Reply, 1)
 	statement := parsedPlain(t)
 	go func() {
 		replies <- c.Exchange(ctx, statement, func() (float64, bool) {
-			asked <- struct{}{}
+			gateCalls <- struct{}{}
 			return 500, true
 		})
 	}()
@@ -111,11 +112,11 @@
 		defer o.mu.Unlock()
 		return o.pending != nil
 	}, 10*time.Second, time.Millisecond)
-	giveUp()
+	abandon()
 	reply := <-replies
 	require.Equal(t, dispatch.NotSent.String(), reply.Code.String())
 	require.Equal(t, dispatch.NotBegun.String(), reply.Execution.String())
-	close(goOn)
+	close(releaseLoop)
 	require.Eventually(t, func() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.openConns == 0 }, 10*time.Second, time.Millisecond)
-	require.Empty(t, asked, "the gate was asked for a request that was given up")
+	require.Empty(t, gateCalls, "the gate was called for an abandoned request")
 }
--- a/internal/net/pg/homes_test.go
+++ b/internal/net/pg/homes_test.go
@@ -26,7 +26,7 @@
 	lab "ashstand/testbed/host"
 )
 
-// told are homes as a test sets them.
+// told is an Assignments whose assignments are set by a test.
 type told struct {
 	of    atomic.Pointer[map[string]session.Assignment]
 	front *SessionFront
@@ -39,6 +39,7 @@
 	return session.Assignment{}
 }
 
+// set changes the assignment of the database orders and notifies the front.
 func (h *told) set(to session.Assignment) {
 	m := map[string]session.Assignment{}
 	if old := h.of.Load(); old != nil {
@@ -56,24 +57,28 @@
 	}
 }
 
+// at is an assignment to a group.
 func at(group uint64) session.Assignment { return session.Assignment{HasGroup: true, Group: group} }
+
+// paused is an assignment to a group with the tenant paused.
 func paused(group uint64) session.Assignment {
 	return session.Assignment{HasGroup: true, Group: group, Paused: true}
 }
 
-// moving is a front before two groups, with orders at the first.
-type moving struct {
+// tenantFixture is a front with two groups; the database orders is assigned to the first.
+type tenantFixture struct {
 	*pooled
 	homes *told
 	other *lab.Cluster
-	c     *lab.Host // the primary of group 2
-	gate  *gate     // before a, the primary of group 1
+	c     *lab.Host     // the primary of group 2
+	gate  *fencingProxy // in front of a, the primary of group 1
 }
 
-func housed(t testing.TB, change func(l *SessionLimits)) *moving {
+// housed starts a front with two groups. change, unless nil, modifies the limits.
+func housed(t testing.TB, change func(l *SessionLimits)) *tenantFixture {
 	h := &told{}
 	h.set(at(1))
-	w := &moving{homes: h, other: lab.NewCluster(2, 2)}
+	w := &tenantFixture{homes: h, other: lab.NewCluster(2, 2)}
 	w.pooled = pool(t, func(l *SessionLimits) {
 		l.MaxPausedTransactions = 5000
 		l.Pools[0].MaxPausedTransactions, l.Pools[0].MaxPauseMillis, l.Pools[0].WaitTimeoutMillis = 1000, 60000, 30000
@@ -86,14 +91,15 @@
 	w.c, err = w.other.Add("c", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(w.c.Stop)
-	w.gate = newGate(t, w.a.Address)
+	w.gate = newFencingProxy(t, w.a.Address)
 	w.front.SetAddress("a", w.gate.address)
 	w.front.SetAddress("c", w.c.Address)
 	w.facade.UpdateEndpoints(false, []dispatch.Endpoint{{Host: "c", Group: 2, Primary: true}})
 	return w
 }
 
-func (w *moving) home() TenantStats {
+// tenantStats returns the statistics of the tenant orders.
+func (w *tenantFixture) tenantStats() TenantStats {
 	for _, h := range w.front.TenantStats() {
 		if h.Database == "orders" {
 			return h
@@ -102,12 +108,13 @@
 	return TenantStats{}
 }
 
-func (w *moving) held(n int) {
+// requireQueued waits until n transactions of the tenant are queued.
+func (w *tenantFixture) requireQueued(n int) {
 	w.t.Helper()
-	require.Eventually(w.t, func() bool { return w.home().Queued == n }, 10*time.Second, time.Millisecond, "%d, not %d are held", w.home().Queued, n)
+	require.Eventually(w.t, func() bool { return w.tenantStats().Queued == n }, 10*time.Second, time.Millisecond, "%d transactions are queued, not %d", w.tenantStats().Queued, n)
 }
 
-// later runs a statement on a connection and tells what came of it.
+// later runs a statement on a goroutine and sends its error.
 func later(c *pgx.Conn, text string, args ...any) chan error {
 	out := make(chan error, 1)
 	go func() {
@@ -117,26 +124,29 @@
 	return out
 }
 
-func (w *moving) insert(ref string) string {
+// insert returns a statement that inserts an entry.
+func (w *tenantFixture) insert(ref string) string {
 	return "INSERT INTO entries (ref, payload) VALUES ('" + ref + "', '1')"
 }
 
-// gate stands before a host and, while it is shut, refuses writes as the guard of a closed tenant does.
-type gate struct {
-	address string
-	shut    atomic.Bool
-	early   atomic.Pointer[chan struct{}] // it says something before it refuses, and waits until that was heard
-	cut     atomic.Bool                   // the connection breaks after the refusal
-	slow    atomic.Pointer[chan struct{}] // what brings a connection to a session's settings waits
-	slowed  atomic.Int64
-	refused atomic.Int64
-	turned  atomic.Pointer[chan struct{}] // between the refusal and ReadyForQuery it waits
+// fencingProxy is a proxy in front of a host. While shut is set it rejects writes as the fencing trigger of a
+// closed tenant does.
+type fencingProxy struct {
+	address             string
+	shut                atomic.Bool
+	noticeFirst         atomic.Pointer[chan struct{}] // a notice precedes the rejection, which waits until the channel is closed
+	closeAfterRejection atomic.Bool                   // the connection is closed after the rejection
+	slow                atomic.Pointer[chan struct{}] // queries that contain "slow" wait until the channel is closed
+	slowed              atomic.Int64
+	rejections          atomic.Int64
+	turned              atomic.Pointer[chan struct{}] // ReadyForQuery follows the next rejection once the channel is closed
 }
 
-func newGate(t testing.TB, host string) *gate {
+// newFencingProxy starts a proxy to the host at an address.
+func newFencingProxy(t testing.TB, host string) *fencingProxy {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	g := &gate{address: l.Addr().String()}
+	g := &fencingProxy{address: l.Addr().String()}
 	t.Cleanup(func() { l.Close() })
 	go func() {
 		for {
@@ -150,7 +160,8 @@
 	return g
 }
 
-func (g *gate) serve(c net.Conn, host string) {
+// serve relays one connection.
+func (g *fencingProxy) serve(c net.Conn, host string) {
 	defer c.Close()
 	s, err := net.Dial("tcp", host)
 	if err != nil {
@@ -159,10 +170,10 @@
 	defer s.Close()
 	status := atomic.Int32{}
 	status.Store('I')
-	go func() { // what the host says, of which the status is kept
+	go func() { // relays the host's messages and records the transaction status
 		defer c.Close()
 		head, from := make([]byte, 5), bufio.NewReader(s)
-		var out []byte // what came together goes on together
+		var out []byte // messages that were read at once are written at once
 		for {
 			if _, err := io.ReadFull(from, head); err != nil {
 				return
@@ -190,7 +201,7 @@
 	if _, err := io.CopyN(io.MultiWriter(s), io.MultiReader(strings.NewReader(string(first)), c), int64(binary.BigEndian.Uint32(first))); err != nil {
 		return
 	}
-	var batch []byte // of an extended query
+	var batch []byte // the messages of an extended query
 	inserts, writes := map[string]bool{}, false
 	for {
 		head := make([]byte, 5)
@@ -216,13 +227,13 @@
 			continue
 		}
 		if g.shut.Load() && writes {
-			g.refused.Add(1)
-			if heard := g.early.Load(); heard != nil {
+			g.rejections.Add(1)
+			if received := g.noticeFirst.Load(); received != nil {
 				_, _ = c.Write(appendMessage(nil, 'N', func(b []byte) []byte { return append(b, "SNOTICE\x00VNOTICE\x00C00000\x00Msoon\x00\x00"...) }))
-				<-*heard
+				<-*received
 			}
 			out := appendError(nil, "ERROR", "55000", "tenant is closed", "")
-			if g.cut.Load() {
+			if g.closeAfterRejection.Load() {
 				_, _ = c.Write(out)
 				return
 			}
@@ -249,7 +260,7 @@
 	}
 }
 
-func TestHomesHoldWhilePausedAndLetGoInOrder(t *testing.T) {
+func TestPausedTenantQueuesAndReleasesInOrder(t *testing.T) {
 	w := housed(t, func(l *SessionLimits) { l.Pools[0].Sizes.MaxConnections = 1 })
 	first := w.connect("")
 	w.exec(first, w.insert("before"))
@@ -261,133 +272,134 @@
 	var waits []chan error
 	for i := range 6 {
 		c := w.connect("")
-		if i == 3 { // the extended protocol
+		if i == 3 { // one uses the extended protocol
 			waits = append(waits, later(c, "INSERT INTO entries (ref, payload) VALUES ($1, $2)", pgx.QueryExecModeExec, "held", fmt.Sprint(i)))
 		} else {
 			waits = append(waits, later(c, fmt.Sprintf("INSERT INTO entries (ref, payload) VALUES ('held', '%d')", i)))
 		}
-		w.held(i + 1)
+		w.requireQueued(i + 1)
 	}
-	require.Equal(t, "paused", w.home().State)
-	require.NotZero(t, w.home().PausedSince)
-	w.exec(running, w.insert("running2")) // what runs goes on to its end
+	require.Equal(t, "paused", w.tenantStats().State)
+	require.NotZero(t, w.tenantStats().PausedSince)
+	w.exec(running, w.insert("running2")) // a running transaction continues to its end
 	w.exec(running, "COMMIT")
 	require.Equal(t, 1, w.cluster.Versions("public", "entries", "running2"))
-	w.homes.set(session.Assignment{HasGroup: true, Paused: true, Undecided: true, PausedSince: w.home().PausedSince}) // while two versions meet
-	require.Equal(t, 6, w.home().Queued)
+	w.homes.set(session.Assignment{HasGroup: true, Paused: true, Undecided: true, PausedSince: w.tenantStats().PausedSince}) // while two versions of the rules disagree
+	require.Equal(t, 6, w.tenantStats().Queued)
 	w.homes.set(paused(2))
-	require.Equal(t, 6, w.home().Queued)
+	require.Equal(t, 6, w.tenantStats().Queued)
 	w.homes.set(at(2))
 	for i, wait := range waits {
 		require.NoError(t, <-wait, i)
 	}
 	require.Zero(t, w.cluster.Versions("public", "entries", "held"))
 	require.Equal(t, 6, w.other.Versions("public", "entries", "held"))
-	require.Equal(t, "5", w.one(first, "SELECT payload FROM entries WHERE ref = 'held'"), "the last that came is the last that went")
-	require.EqualValues(t, 6, w.home().Released)
-	require.EqualValues(t, 2, *w.home().Group)
-	require.Zero(t, w.home().Queued+w.home().Running)
+	require.Equal(t, "5", w.queryValue(first, "SELECT payload FROM entries WHERE ref = 'held'"), "the last to arrive is the last to be released")
+	require.EqualValues(t, 6, w.tenantStats().Released)
+	require.EqualValues(t, 2, *w.tenantStats().Group)
+	require.Zero(t, w.tenantStats().Queued+w.tenantStats().Running)
 }
 
-func TestHomesRefuse(t *testing.T) {
+func TestTenantQueueRejections(t *testing.T) {
 	w := housed(t, func(l *SessionLimits) {
 		l.Pools[0].MaxPausedTransactions, l.Pools[0].MaxPauseMillis, l.Pools[0].WaitTimeoutMillis = 2, 60000, 30000
 		l.Bytes = 1 << 20
 	})
 	c, d, e, g := w.connect(""), w.connect(""), w.connect(""), w.connect("")
-	refused := func(err error, text string) {
+	requireRejected := func(err error, text string) {
 		t.Helper()
 		var pe *pgconn.PgError
 		require.ErrorAs(t, err, &pe)
 		require.Equal(t, "53300", pe.Code)
-		require.Equal(t, "50", pe.Detail, "when to come back")
+		require.Equal(t, "50", pe.Detail, "milliseconds after which to retry")
 		require.Contains(t, err.Error(), text)
 	}
-	// The client's own deadline, in time for it.
+	// The client's own deadline: the rejection comes in time for it.
 	w.homes.set(paused(1))
 	begun := time.Now()
 	_, err := c.Exec(patient(t), "/* d=200 */ SELECT 1")
-	refused(err, "paused for longer")
+	requireRejected(err, "paused for longer")
 	require.Greater(t, time.Since(begun), 190*time.Millisecond)
 	require.Less(t, time.Since(begun), 10*time.Second, "at its own deadline, not at the pause's or the pool's")
-	// As many as may.
+	// The queue is full.
 	x, y := later(c, "SELECT 1"), later(d, w.insert("y"))
-	w.held(2)
+	w.requireQueued(2)
 	_, err = e.Exec(patient(t), "SELECT 1")
-	refused(err, "as many transactions wait as may")
-	// A client that leaves makes room.
+	requireRejected(err, "as many transactions wait as may")
+	// A client that disconnects makes room.
 	d.PgConn().Conn().Close()
-	w.held(1)
+	w.requireQueued(1)
 	require.Error(t, <-y)
-	// The pause's own longest time, for who waits and who comes.
+	// The longest pause, for a transaction that waits and for one that arrives later.
 	w.homes.set(at(1))
 	require.NoError(t, <-x)
-	long := paused(1)
-	long.PausedSince = clock.System().Now() - 60000 + 300
-	w.homes.set(long)
+	longPause := paused(1)
+	longPause.PausedSince = clock.System().Now() - 60000 + 300
+	w.homes.set(longPause)
 	begun = time.Now()
 	for range 2 {
 		_, err = c.Exec(patient(t), "SELECT 1")
-		refused(err, "paused for longer")
+		requireRejected(err, "paused for longer")
 	}
 	require.Less(t, time.Since(begun), 10*time.Second)
-	// Bytes: a quarter of what all clients may have waiting here.
+	// Bytes: a tenant may queue a quarter of SessionLimits.Bytes.
 	w.homes.set(paused(1))
 	z := later(c, "SELECT '"+strings.Repeat("x", 200<<10)+"'")
-	w.held(1)
+	w.requireQueued(1)
 	_, err = e.Exec(patient(t), "SELECT '"+strings.Repeat("x", 100<<10)+"'")
-	refused(err, "memory")
-	// Who is held and goes on sending is read no more once that is used up.
+	requireRejected(err, "memory")
+	// Reads from a queued client that goes on sending are paused once that is used up.
 	more, err := net.Dial("tcp", w.address)
 	require.NoError(t, err)
 	t.Cleanup(func() { more.Close() })
 	small := appendQuery(nil, func(b []byte) []byte { return append(b, "SELECT 1"...) })
 	_, err = more.Write(append(startupMessage("web", "orders"), small...))
 	require.NoError(t, err)
-	w.held(2)
-	paces := w.front.Stats().ReadsPaused
-	const times = 5000
-	go func() { _, _ = more.Write([]byte(strings.Repeat(string(small), times))) }()
-	require.Eventually(t, func() bool { return w.front.Stats().ReadsPaused > paces }, 5*time.Second, time.Millisecond)
+	w.requireQueued(2)
+	pausesBefore := w.front.Stats().ReadsPaused
+	const queries = 5000
+	go func() { _, _ = more.Write([]byte(strings.Repeat(string(small), queries))) }()
+	require.Eventually(t, func() bool { return w.front.Stats().ReadsPaused > pausesBefore }, 5*time.Second, time.Millisecond)
 	w.homes.set(at(1))
 	require.NoError(t, <-z)
 	require.NoError(t, more.SetReadDeadline(time.Now().Add(20*time.Second)))
 	var got []byte
-	for buf := make([]byte, 64<<10); bytes.Count(got, []byte("SELECT 1")) < times+1; {
+	for buf := make([]byte, 64<<10); bytes.Count(got, []byte("SELECT 1")) < queries+1; {
 		n, err := more.Read(buf)
 		require.NoError(t, err)
 		got = append(got, buf[:n]...)
 	}
-	// Fenced: at once, and a block that runs goes on.
+	// Fenced: new transactions are rejected at once, and an open block continues.
 	w.exec(g, "BEGIN")
 	w.homes.set(session.Assignment{HasGroup: true, Undecided: true})
 	begun = time.Now()
 	_, err = c.Exec(patient(t), "SELECT $1", "1")
-	refused(err, "no home that is agreed on")
+	requireRejected(err, "no home that is agreed on")
 	require.Less(t, time.Since(begun), 10*time.Second)
 	w.exec(g, w.insert("in a block"))
 	w.exec(g, "COMMIT")
-	require.Zero(t, w.cluster.Versions("public", "entries", "y"), "whose client left")
-	require.EqualValues(t, 6, w.home().Rejected)
-	// A comment that says otherwise.
+	require.Zero(t, w.cluster.Versions("public", "entries", "y"), "its client disconnected")
+	require.EqualValues(t, 6, w.tenantStats().Rejected)
+	// A comment that names another group than the assignment.
 	w.homes.set(at(2))
 	w.fails(c, "08P01", "/* cluster=1 */ "+w.insert("astray"))
 	w.exec(c, "/* cluster=2 */ "+w.insert("home"))
 	require.Zero(t, w.cluster.Versions("public", "entries", "astray"))
 	require.Equal(t, 1, w.other.Versions("public", "entries", "home"))
-	// A cancel.
+	// A cancel request for a queued transaction.
 	w.homes.set(paused(2))
 	z = later(c, "SELECT 1")
-	w.held(1)
+	w.requireQueued(1)
 	require.NoError(t, c.PgConn().CancelRequest(patient(t)))
 	require.Equal(t, "57014", state(<-z))
 	w.homes.set(at(2))
-	require.Equal(t, "1", w.one(c, "SELECT $1", "1"))
+	require.Equal(t, "1", w.queryValue(c, "SELECT $1", "1"))
 }
 
-// Guards against a transaction that was chosen for the old home and waits there for a connection.
-func TestHomesAreAskedAgainBeforeTheWrite(t *testing.T) {
-	for _, silent := range []bool{false, true} { // whether anybody says that the rules changed
+// Guards against a transaction that is sent to the former group: it was routed there and then waited for a
+// connection, or for the restoring of its settings, while the tenant moved.
+func TestAssignmentIsCheckedAgainBeforeSending(t *testing.T) {
+	for _, silent := range []bool{false, true} { // whether the front is not notified that the rules changed
 		w := housed(t, func(l *SessionLimits) { l.Pools[0].Sizes.MaxConnections = 1 })
 		c, d := w.connect(""), w.connect("")
 		w.exec(c, "BEGIN")
@@ -399,7 +411,7 @@
 		}
 		w.homes.set(at(2))
 		if !silent {
-			require.NoError(t, <-wait, "it need not wait for a connection to the old home")
+			require.NoError(t, <-wait, "it does not wait for a connection to the former group")
 		}
 		w.exec(c, "COMMIT")
 		if silent {
@@ -409,7 +421,7 @@
 		require.Zero(t, w.cluster.Versions("public", "entries", "d"))
 		require.Equal(t, 1, w.other.Versions("public", "entries", "d"))
 	}
-	// While its connection is being brought to its settings.
+	// The tenant moves while the session's settings are being restored.
 	w := housed(t, func(l *SessionLimits) { l.Pools[0].Sizes.MaxConnections = 1 })
 	c, d := w.connect(""), w.connect("")
 	w.exec(c, "SET app.slow TO 1")
@@ -422,70 +434,73 @@
 	close(wait)
 	require.NoError(t, <-done)
 	require.Zero(t, w.cluster.Versions("public", "entries", "c"))
-	require.Equal(t, "1", w.one(c, "SHOW app.slow"))
+	require.Equal(t, "1", w.queryValue(c, "SHOW app.slow"))
 }
 
-func TestHomesRunAgainWhatAGuardTurnedAway(t *testing.T) {
+func TestStatementsRejectedByFencingAreReplayed(t *testing.T) {
 	w := housed(t, nil)
 	c, d := w.connect(""), w.connect("")
 	_, err := c.Prepare(patient(t), "mine", "INSERT INTO entries (ref, payload) VALUES ($1, $2)")
 	require.NoError(t, err)
 	w.gate.shut.Store(true)
-	// Closed at the host before the rules say so: both forms of the protocol wait for the word, once each.
+	// The tenant is closed at its host before the rules say so: in both forms of the protocol the statement
+	// is sent once, and then waits for the rules to change.
 	waits := []chan error{later(c, "mine", "turned", "1"), later(d, w.insert("turned"))}
-	w.held(2)
-	require.EqualValues(t, 2, w.gate.refused.Load())
+	w.requireQueued(2)
+	require.EqualValues(t, 2, w.gate.rejections.Load())
 	e := w.connect("")
-	require.Equal(t, "1", w.one(e, "SELECT $1", "1"), "reads go on meanwhile")
+	require.Equal(t, "1", w.queryValue(e, "SELECT $1", "1"), "reads continue meanwhile")
 	w.homes.set(paused(1))
 	w.homes.set(at(2))
 	for _, wait := range waits {
 		require.NoError(t, <-wait)
 	}
-	require.EqualValues(t, 2, w.gate.refused.Load())
+	require.EqualValues(t, 2, w.gate.rejections.Load())
 	require.Equal(t, 2, w.other.Versions("public", "entries", "turned"))
 	require.Zero(t, w.cluster.Versions("public", "entries", "turned"))
 	require.EqualValues(t, 2, w.front.Stats().RejectedByHost)
-	// A pause that ends where it began, with the tenant still closed: told the second time.
+	// A pause ends with the same assignment and the tenant still closed: the second rejection goes to the
+	// client.
 	w.homes.set(at(1))
 	x := later(d, w.insert("twice"))
-	w.held(1)
+	w.requireQueued(1)
 	w.homes.set(paused(1))
-	require.Equal(t, 1, w.home().Queued) // asked on the loop, so it has seen the pause
+	require.Equal(t, 1, w.tenantStats().Queued) // read on the event loop, so the front has processed the pause
 	w.homes.set(at(1))
 	require.Equal(t, "55000", state(<-x))
-	// In a block it goes to the client as it is, and so where the client has heard something already.
+	// The rejection goes to the client unchanged in a block, for several statements, for one that may commit
+	// a part, and where the client has already received something.
 	w.exec(d, "BEGIN")
 	w.fails(d, "55000", w.insert("block"))
 	w.exec(d, "ROLLBACK")
 	w.fails(d, "55000", w.insert("two")+"; "+w.insert("two"))
 	w.fails(d, "55000", "CALL what_commits_a_part()")
-	heard := make(chan struct{})
-	w.gate.early.Store(&heard)
+	received := make(chan struct{})
+	w.gate.noticeFirst.Store(&received)
 	config, err := pgx.ParseConfig("postgres://web@" + w.address + "/orders?sslmode=disable")
 	require.NoError(t, err)
-	config.OnNotice = func(*pgconn.PgConn, *pgconn.Notice) { close(heard) }
-	told, err := pgx.ConnectConfig(patient(t), config)
+	config.OnNotice = func(*pgconn.PgConn, *pgconn.Notice) { close(received) }
+	notified, err := pgx.ConnectConfig(patient(t), config)
 	require.NoError(t, err)
-	w.fails(told, "55000", w.insert("early"))
-	told.PgConn().Conn().Close()
-	w.gate.early.Store(nil)
-	// A client that leaves meanwhile, and one whose patience ends.
+	w.fails(notified, "55000", w.insert("early"))
+	notified.PgConn().Conn().Close()
+	w.gate.noticeFirst.Store(nil)
+	// A client whose deadline passes while it waits, and one that disconnects.
 	x = later(c, "/* d=150 */ "+w.insert("late"))
 	err = <-x
 	require.Equal(t, "53300", state(err))
 	require.Contains(t, err.Error(), "closed at its host")
 	_ = later(d, w.insert("left"))
-	w.held(1)
+	w.requireQueued(1)
 	d.PgConn().Conn().Close()
-	w.held(0)
+	w.requireQueued(0)
 	w.homes.set(at(2))
-	require.Equal(t, "1", w.one(c, "SELECT $1", "1"))
-	// The connection breaks right behind the refusal: nothing is in doubt.
+	require.Equal(t, "1", w.queryValue(c, "SELECT $1", "1"))
+	// The connection is closed right after the rejection: the outcome is not in doubt.
 	w.homes.set(at(1))
-	w.gate.cut.Store(true)
+	w.gate.closeAfterRejection.Store(true)
 	x = later(c, w.insert("cut"))
-	w.held(1)
+	w.requireQueued(1)
 	w.homes.set(at(2))
 	require.NoError(t, <-x)
 	require.Equal(t, 1, w.other.Versions("public", "entries", "cut"))
@@ -495,8 +510,9 @@
 	require.Eventually(t, func() bool { s := w.front.Stats(); return s.Linked == 0 && s.Servers == s.ServersIdle }, 5*time.Second, 5*time.Millisecond)
 }
 
-// The guard as it stands in a database, in each form in which drivers ask: simple, prepared, and all in one round.
-func TestHomesRunAgainWhatTheDatabasesGuardTurnedAway(t *testing.T) {
+// The fencing trigger as it is installed in a database, with each form of statement that drivers send:
+// simple, prepared, and an extended query in one round trip.
+func TestStatementsRejectedByFencingTriggerAreReplayed(t *testing.T) {
 	w := housed(t, nil)
 	for _, c := range []*lab.Cluster{w.cluster, w.other} {
 		c.Database("orders")
@@ -527,20 +543,20 @@
 		later(a, "INSERT INTO entries VALUES ('a', 'x')"), later(b, "mine", "b", "x"),
 		later(c, "INSERT INTO entries VALUES ($1, $2)", pgx.QueryExecModeExec, "c", "x"),
 	}
-	w.held(3)
+	w.requireQueued(3)
 	w.homes.set(paused(2))
 	w.homes.set(at(2))
 	for i, wait := range waits {
 		require.NoError(t, <-wait, i)
 	}
 	require.EqualValues(t, 3, w.front.Stats().RejectedByHost)
-	require.Equal(t, "3", w.one(a, "SELECT count(*) FROM entries"), "all three are at the new home")
+	require.Equal(t, "3", w.queryValue(a, "SELECT count(*) FROM entries"), "all three are in the new group")
 	var left string
 	require.NoError(t, direct.QueryRow(patient(t), "SELECT count(*) FROM entries").Scan(&left))
 	require.Equal(t, "1", left)
 }
 
-func TestHomesPartSessionsFromConnections(t *testing.T) {
+func TestMovedTenantLeavesRetainedConnections(t *testing.T) {
 	w := housed(t, func(l *SessionLimits) {
 		p := l.Pools[0]
 		p.Name, p.User, p.Mode = "keepers", "keeper", Session
@@ -558,14 +574,14 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { k.PgConn().Conn().Close() })
 	w.exec(k, "SET app.who TO me")
-	require.Equal(t, []StickyStats{{"keepers", "a", "session mode", 1}, {"webs", "a", string(session.CauseListen), 2}, {"webs", "a", string(session.CauseTemporary), 1}}, w.home().Sticky)
+	require.Equal(t, []StickyStats{{"keepers", "a", "session mode", 1}, {"webs", "a", string(session.CauseListen), 2}, {"webs", "a", string(session.CauseTemporary), 1}}, w.tenantStats().Sticky)
 	w.homes.set(paused(1))
-	wait := later(k, w.insert("k")) // on a connection that it keeps
-	w.held(1)
-	w.homes.set(at(1)) // and nothing moved
+	wait := later(k, w.insert("k")) // on a connection that the session keeps
+	w.requireQueued(1)
+	w.homes.set(at(1)) // the tenant has not moved
 	require.NoError(t, <-wait)
 	require.Equal(t, 1, w.cluster.Versions("public", "entries", "k"))
-	// A pipeline of which a part was answered here goes on, whatever the rules say meanwhile.
+	// A pipeline of which the pooler has answered a part continues, whatever the rules become meanwhile.
 	_, err = k.Prepare(patient(t), "both", "SELECT 'both'")
 	require.NoError(t, err)
 	p := k.PgConn().Frontend()
@@ -587,23 +603,24 @@
 	}
 	w.homes.set(paused(1))
 	wait, waitC := later(k, w.insert("k")), later(c, "SELECT 1")
-	w.held(2)
+	w.requireQueued(2)
 	w.homes.set(at(2))
-	require.NoError(t, <-wait, "what is bound to nothing goes along")
+	require.NoError(t, <-wait, "a session without sticky state moves along")
 	require.Equal(t, 1, w.other.Versions("public", "entries", "k"))
-	require.Equal(t, "me", w.one(k, "SHOW app.who"))
+	require.Equal(t, "me", w.queryValue(k, "SHOW app.who"))
 	err = <-waitC
 	require.Equal(t, "57P01", state(err))
 	require.Contains(t, err.Error(), string(session.CauseTemporary))
-	require.Eventually(t, func() bool { return w.front.Stats().Clients == 2 }, 5*time.Second, time.Millisecond, "who listens is ended without a word of his own")
+	require.Eventually(t, func() bool { return w.front.Stats().Clients == 2 }, 5*time.Second, time.Millisecond, "an idle session that listens is disconnected without sending anything")
 	w.exec(busy, w.insert("busy"))
 	w.exec(busy, "COMMIT")
 	require.Equal(t, 1, w.cluster.Versions("public", "entries", "busy"))
-	require.Eventually(t, func() bool { return w.front.Stats().Clients == 1 }, 5*time.Second, time.Millisecond, "and who is in a transaction at its end")
-	require.Equal(t, []StickyStats{{"keepers", "c", "session mode", 1}}, w.home().Sticky)
+	require.Eventually(t, func() bool { return w.front.Stats().Clients == 1 }, 5*time.Second, time.Millisecond, "a session in a transaction is disconnected at its end")
+	require.Equal(t, []StickyStats{{"keepers", "c", "session mode", 1}}, w.tenantStats().Sticky)
 }
 
-// outcomeOf reads up to what comes of a statement: the tag of its command, the error, or why there is none.
+// outcomeOf reads the outcome of a statement: its command tag, the SQLSTATE and message of its error, or the
+// read error.
 func outcomeOf(f *pgproto3.Frontend) string {
 	for {
 		m, err := f.Receive()
@@ -619,8 +636,9 @@
 	}
 }
 
-// Guards against one tenant's pause that takes from others what they need.
-func TestHomesHoldThousandsBesideOthers(t *testing.T) {
+// Guards against a paused tenant whose queued transactions, or their release, delay or reject other tenants'
+// transactions.
+func TestPausedTenantDoesNotStarveOthers(t *testing.T) {
 	const many = 2000
 	w := housed(t, func(l *SessionLimits) {
 		l.Clients, l.Bytes = many+100, 16<<20
@@ -631,29 +649,29 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { other.PgConn().Conn().Close() })
 	w.homes.set(paused(1))
-	ask := appendQuery(startupMessage("web", "orders"), func(b []byte) []byte { return append(b, w.insert("many")...) })
+	query := appendQuery(startupMessage("web", "orders"), func(b []byte) []byte { return append(b, w.insert("many")...) })
 	conns := make([]net.Conn, many)
 	for i := range conns {
 		conns[i], err = net.Dial("tcp", w.address)
 		require.NoError(t, err)
 		t.Cleanup(func() { conns[i].Close() })
-		_, err = conns[i].Write(ask)
+		_, err = conns[i].Write(query)
 		require.NoError(t, err)
 	}
-	w.held(many)
-	slow := time.Duration(0)
-	rows := func(for_ time.Duration) {
-		for end := time.Now().Add(for_); time.Now().Before(end); {
+	w.requireQueued(many)
+	slowest := time.Duration(0)
+	queryOther := func(duration time.Duration) {
+		for end := time.Now().Add(duration); time.Now().Before(end); {
 			begun := time.Now()
-			require.Equal(t, "1", w.one(other, "SELECT $1", "1"))
-			slow = max(slow, time.Since(begun))
+			require.Equal(t, "1", w.queryValue(other, "SELECT $1", "1"))
+			slowest = max(slowest, time.Since(begun))
 		}
 	}
-	rows(300 * time.Millisecond)
+	queryOther(300 * time.Millisecond)
 	w.homes.set(at(2))
 	var all sync.WaitGroup
 	var mu sync.Mutex
-	failed := map[string]int{} // by what came instead
+	failed := map[string]int{} // by outcome
 	for _, c := range conns {
 		all.Go(func() {
 			_ = c.SetReadDeadline(time.Now().Add(30 * time.Second))
@@ -664,17 +682,18 @@
 			}
 		})
 	}
-	rows(300 * time.Millisecond)
+	queryOther(300 * time.Millisecond)
 	all.Wait()
-	require.Empty(t, failed, "none is refused: no more are on their way than there are connections")
+	require.Empty(t, failed, "none is rejected: no more are released at once than there are connections")
 	require.Equal(t, many, w.other.Versions("public", "entries", "many"))
-	require.Less(t, slow, time.Second)
-	t.Logf("the slowest answer to the other tenant took %v", slow)
+	require.Less(t, slowest, time.Second)
+	t.Logf("the slowest answer to the other tenant took %v", slowest)
 }
 
-// Random turns of the rules and of the guard under clients that write, pipeline, bind themselves and leave: what was
-// answered is there once, nothing is there twice, and nothing is lost count of.
-func TestHomesThroughRandomTurns(t *testing.T) {
+// Changes the assignment and the fencing at random under clients that write, use transactions, become sticky
+// and disconnect. Every write that was acknowledged exists once, no write exists twice, and the front's
+// counts end at zero.
+func TestTenantsUnderRandomReassignment(t *testing.T) {
 	w := housed(t, func(l *SessionLimits) {
 		p := l.Pools[0]
 		p.User, p.Mode, p.Name = "keeper", Session, "keepers"
@@ -688,11 +707,11 @@
 	end := time.Now().Add(2500 * time.Millisecond)
 	var all sync.WaitGroup
 	var mu sync.Mutex
-	written := map[string]bool{} // whether it was answered so
+	written := map[string]bool{} // whether the write was acknowledged
 	codes := map[string]int{}
 	for i := range writers {
 		all.Go(func() {
-			lots := rand.New(rand.NewPCG(7, uint64(i)))
+			rng := rand.New(rand.NewPCG(7, uint64(i)))
 			var c *pgx.Conn
 			defer func() {
 				if c != nil {
@@ -701,7 +720,7 @@
 			}()
 			for n := 0; time.Now().Before(end); n++ {
 				if c == nil || c.IsClosed() {
-					user := []string{"web", "web", "keeper"}[lots.IntN(3)]
+					user := []string{"web", "web", "keeper"}[rng.IntN(3)]
 					var err error
 					if c, err = pgx.Connect(context.Background(), "postgres://"+user+"@"+w.address+"/orders?sslmode=disable"); err != nil {
 						c = nil
@@ -711,7 +730,7 @@
 				ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 				ref := fmt.Sprintf("w%d-%d", i, n)
 				var err error
-				switch lots.IntN(8) {
+				switch rng.IntN(8) {
 				case 0:
 					_, err = c.Exec(ctx, "INSERT INTO entries (ref, payload) VALUES ($1, $2)", ref, "1")
 				case 1:
@@ -727,7 +746,7 @@
 					_, err = c.Exec(ctx, "LISTEN x")
 					ref = ""
 				case 3:
-					time.AfterFunc(time.Duration(lots.IntN(3000))*time.Microsecond, cancel) // it leaves
+					time.AfterFunc(time.Duration(rng.IntN(3000))*time.Microsecond, cancel) // the client disconnects
 					_, err = c.Exec(ctx, w.insert(ref))
 				default:
 					_, err = c.Exec(ctx, w.insert(ref))
@@ -745,21 +764,21 @@
 			}
 		})
 	}
-	lots := rand.New(rand.NewPCG(3, 4))
+	rng := rand.New(rand.NewPCG(3, 4))
 	for time.Now().Before(end) {
-		h := at(uint64(1 + lots.IntN(2)))
-		h.Paused, h.Undecided = lots.IntN(2) == 0, lots.IntN(5) == 0
+		h := at(uint64(1 + rng.IntN(2)))
+		h.Paused, h.Undecided = rng.IntN(2) == 0, rng.IntN(5) == 0
 		w.homes.set(h)
-		w.gate.shut.Store(lots.IntN(3) == 0)
-		time.Sleep(time.Duration(lots.IntN(60)) * time.Millisecond)
+		w.gate.shut.Store(rng.IntN(3) == 0)
+		time.Sleep(time.Duration(rng.IntN(60)) * time.Millisecond)
 	}
 	w.gate.shut.Store(false)
 	w.homes.set(at(2))
 	all.Wait()
 	require.Eventually(t, func() bool {
-		s, h := w.front.Stats(), w.home()
+		s, h := w.front.Stats(), w.tenantStats()
 		return s.Clients == 0 && s.PausedTransactions == 0 && s.Linked == 0 && s.Servers == s.ServersIdle && s.Sticky[session.CauseListen] == 0 && h.Sessions == 0
-	}, 10*time.Second, 10*time.Millisecond, "nothing is lost count of")
+	}, 10*time.Second, 10*time.Millisecond, "all counts are back at zero")
 	for ref, answered := range written {
 		n := w.cluster.Versions("public", "entries", ref) + w.other.Versions("public", "entries", ref)
 		require.LessOrEqual(t, n, 1, ref)
@@ -772,58 +791,59 @@
 	}
 	require.NotZero(t, codes[""])
 	t.Log(codes, w.front.Stats().RejectedByHost)
-	// Whoever comes then is held and let go as ever.
+	// A later transaction is queued and released as usual.
 	c := w.connect("")
 	w.homes.set(paused(2))
 	wait := later(c, w.insert("last"))
-	w.held(1)
-	require.Zero(t, w.home().InFlight)
+	w.requireQueued(1)
+	require.Zero(t, w.tenantStats().InFlight)
 	w.homes.set(at(2))
 	require.NoError(t, <-wait)
 }
 
-// What the homes cost a transaction: without them, with a database that no rule names, and with one that is named, of
-// which the first statement is kept.
+// Measures what assignments cost a transaction: without them, with a database that no rule names, and with
+// one that a rule names, whose first statement is recorded.
 func BenchmarkSessionsTransaction(b *testing.B) {
 	for _, c := range []struct {
-		name  string
-		homes []Assignments
-		named bool
+		name        string
+		assignments []Assignments
+		isNamed     bool
 	}{{name: "without"}, {"unnamed", []Assignments{&told{}}, false}, {"named", []Assignments{&told{}}, true}} {
 		b.Run(c.name, func(b *testing.B) {
-			if c.named {
-				c.homes[0].(*told).set(at(1))
+			if c.isNamed {
+				c.assignments[0].(*told).set(at(1))
 			}
-			w := pool(b, nil, c.homes...)
+			w := pool(b, nil, c.assignments...)
 			conn, err := net.Dial("tcp", w.address)
 			require.NoError(b, err)
 			defer conn.Close()
 			_, err = conn.Write(startupMessage("web", "orders"))
 			require.NoError(b, err)
-			read := make([]byte, 4096)
-			ask := appendQuery(nil, func(b []byte) []byte { return append(b, "SELECT 'a statement of the usual length, so to say'"...) })
-			until := func() {
+			buffer := make([]byte, 4096)
+			query := appendQuery(nil, func(b []byte) []byte { return append(b, "SELECT 'a statement of the usual length, so to say'"...) })
+			readUntilReady := func() {
 				for got := []byte{}; !bytes.HasSuffix(got, []byte{'Z', 0, 0, 0, 5, 'I'}); {
-					n, err := conn.Read(read)
+					n, err := conn.Read(buffer)
 					if err != nil {
 						b.Fatal(err)
 					}
-					got = append(got, read[:n]...)
+					got = append(got, buffer[:n]...)
 				}
 			}
-			until()
+			readUntilReady()
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := conn.Write(ask); err != nil {
+				if _, err := conn.Write(query); err != nil {
 					b.Fatal(err)
 				}
-				until()
+				readUntilReady()
 			}
 		})
 	}
 }
 
-// What is added to a transaction alone: the home twice, the decision, the copy of the statement.
+// Measures only the work that assignments add to a transaction: two lookups, the admission, and the copy of
+// the statement.
 func BenchmarkHomesOfATransaction(b *testing.B) {
 	h := &told{}
 	h.set(at(1))
@@ -841,22 +861,22 @@
 			query: &session.Query{Statements: make([]session.Statement, 1)},
 		},
 	}
-	ask := appendQuery(nil, func(b []byte) []byte { return append(b, "SELECT 'a statement of the usual length, so to say'"...) })
+	query := appendQuery(nil, func(b []byte) []byte { return append(b, "SELECT 'a statement of the usual length, so to say'"...) })
 	b.ReportAllocs()
 	for b.Loop() {
 		now := f.clock.Now()
-		home := h.Assignment("orders", now)
-		if held, err := f.tenancy.tenants.Admit(now, c.tenancy.tenant, home, &c.tenancy.entry, f.queueBounds(c.pool)); held || err != nil {
+		assignment := h.Assignment("orders", now)
+		if held, err := f.tenancy.tenants.Admit(now, c.tenancy.tenant, assignment, &c.tenancy.entry, f.queueBounds(c.pool)); held || err != nil {
 			b.Fatal(err)
 		}
-		group, _ := home.GroupFor("orders", &c.routing.route)
-		c.tenancy.assignment, c.routing.request.Group = home, group
+		group, _ := assignment.GroupFor("orders", &c.routing.route)
+		c.tenancy.assignment, c.routing.request.Group = assignment, group
 		c.discardRecorded()
 		c.record.active = true
 		if !c.isAssignmentCurrent() {
-			b.Fatal("it is at home")
+			b.Fatal("the assignment has not changed")
 		}
-		c.recordMessage('Q', ask[5:], ask)
+		c.recordMessage('Q', query[5:], query)
 		c.discardRecorded()
 		c.finishRelease()
 	}
--- a/internal/net/pg/pipeline_end_test.go
+++ b/internal/net/pg/pipeline_end_test.go
@@ -13,10 +13,11 @@
 	"ashstand/internal/sqlcomment"
 )
 
-// The end of a client whose commands are read ahead and rejected is heard as soon as that of any other, however much it sent.
-func TestTheEndOfAClientThatPipelinesMuchIsHeard(t *testing.T) {
+// The disconnect of a client whose commands are read ahead and rejected is detected as quickly as that of any
+// other client, however much it sent.
+func TestDisconnectOfPipeliningClientIsDetected(t *testing.T) {
 	d, _ := listenGated(t, FrontLimits{Clients: 16, Bytes: 8 << 20, RetryAfterMillis: 300})
-	c, written := d.sendAhead(t, "a", 400, 16<<10) // more than the windows of both sides hold
+	c, written := d.sendAhead(t, "a", 400, 16<<10) // more than the TCP windows of both sides hold
 	<-written
 	d.busy(t, 1)
 	c.Close()
@@ -25,8 +26,8 @@
 	require.Less(t, time.Since(closed), 100*time.Millisecond)
 }
 
-// A client that pipelines sends a cancel request, and a goodbye: both are heard behind what is rejected.
-func TestAGoodbyeBehindMuchIsHeard(t *testing.T) {
+// A Terminate behind many pipelined requests is read, and ends the request in flight.
+func TestTerminateBehindPipelinedRequestsIsRead(t *testing.T) {
 	d, _ := listenGated(t, FrontLimits{Clients: 16, Bytes: 8 << 20, RetryAfterMillis: 300})
 	c, written := d.sendAhead(t, "a", 200, 4<<10)
 	<-written
@@ -36,28 +37,30 @@
 	require.Eventually(t, func() bool { return d.count(func(h *client) bool { return h.requestInFlight }) == 0 }, 10*time.Second, time.Millisecond)
 }
 
-// At the end of the process, what is rejected for its amount is answered too, and nothing else is.
-func TestAtTheEndAPipelineGetsEveryAnswer(t *testing.T) {
+// At shutdown every pipelined request gets exactly one answer, including those rejected because too much was
+// sent ahead.
+func TestShutdownAnswersEveryPipelinedRequest(t *testing.T) {
 	const requests = 150
 	d, _ := listenGated(t, FrontLimits{Clients: 16, Bytes: 8 << 20, RetryAfterMillis: 300})
 	c, written := d.sendAhead(t, "a", requests, 4<<10)
 	<-written
 	require.Eventually(t, func() bool {
 		return d.count(func(h *client) bool { return h.requestInFlight && h.queue.commands() == requests-1 }) == 1
-	}, 10*time.Second, time.Millisecond, "all of them have come")
+	}, 10*time.Second, time.Millisecond, "all requests were read")
 	d.Drain()
 	d.Cut()
 	answers := answersOf(t, c, requests)
 	require.Len(t, answers, requests)
-	require.Equal(t, "ERROR 57P01", answers[0], "it may have run")
+	require.Equal(t, "ERROR 57P01", answers[0], "the request may have run")
 	for _, a := range answers[1 : requests-1] {
 		require.Contains(t, []string{"ERROR 57P03", "ERROR 53300"}, a)
 	}
 	require.Equal(t, "FATAL 57P03", answers[requests-1])
 }
 
-// A client that reads late gets all its short answers: it is waited for, within a bound, and not cut off.
-func TestShortAnswersWaitForAClientThatReadsLate(t *testing.T) {
+// A client that reads late gets all of its short answers: the front waits for it, within a bound, and doesn't
+// disconnect it.
+func TestShortAnswersWaitForSlowReader(t *testing.T) {
 	const commands = 400_000
 	d := listen(t, FrontLimits{Clients: 16, Bytes: 8 << 20, RetryAfterMillis: 300})
 	c := d.call(t, "")
@@ -90,9 +93,10 @@
 	require.LessOrEqual(t, d.count(func(*client) bool { return true }), 1)
 }
 
-// At the end of the process a client has been answered, but has not taken its answer yet: that is its request's final answer, whole,
-// and the request behind it, which never ran, is rejected. Told twice, it would take the second for the answer to the next.
-func TestAtTheEndAnAnswerThatWaitsForItsReaderIsTheOnlyOne(t *testing.T) {
+// At shutdown a client has been answered but has not read its answer yet. It gets that answer whole as the
+// only one to its request, and the request behind it, which never ran, is rejected. A client that got a
+// second answer to the first request would take it for the answer to the second.
+func TestShutdownSendsNoSecondAnswer(t *testing.T) {
 	d := listen(t, FrontLimits{Clients: 16, Bytes: 8 << 20})
 	c := d.call(t, "")
 	require.Eventually(t, func() bool { return d.count(func(h *client) bool { return h.hasRequested }) == 1 }, 10*time.Second, time.Millisecond)
@@ -112,7 +116,7 @@
 	require.Empty(t, d.violations(t))
 }
 
-// commands is how many commands wait.
+// commands returns the number of commands that wait.
 func (q *commandQueue) commands() (n int) {
 	for _, r := range q.runs {
 		n += r.count
--- a/internal/net/pg/pipeline_test.go
+++ b/internal/net/pg/pipeline_test.go
@@ -17,15 +17,15 @@
 	"ashstand/internal/sqlcomment"
 )
 
-// gated is a backend whose one host answers once the gate is open.
-type gated struct {
+// gatedBackend is a backend with one host, which answers once the channel open is closed.
+type gatedBackend struct {
 	nowhere
 	open chan struct{}
 }
 
-func (b *gated) Acquire(context.Context, string) (edge.Conn, error) { return b, nil }
+func (b *gatedBackend) Acquire(context.Context, string) (edge.Conn, error) { return b, nil }
 
-func (b *gated) Exchange(ctx context.Context, _ *sqlcomment.Statement, gate edge.Gate) edge.Reply {
+func (b *gatedBackend) Exchange(ctx context.Context, _ *sqlcomment.Statement, gate edge.Gate) edge.Reply {
 	select {
 	case <-b.open:
 	case <-ctx.Done():
@@ -40,18 +40,19 @@
 	}
 }
 
-// listenGated is listen before a host that answers once the returned channel is closed.
+// listenGated starts a front before a host that answers once the returned channel is closed.
 func listenGated(t *testing.T, limits FrontLimits) (*door, chan struct{}) {
 	d := listen(t, limits)
 	open := make(chan struct{})
 	d.call(t, "")
 	require.Eventually(t, func() bool { return d.count(func(h *client) bool { return h.hasRequested }) == 1 }, 10*time.Second, time.Millisecond)
-	d.on(func() { d.edge = edge.New(d.facade, d.clock, &gated{open: open}) })
+	d.on(func() { d.edge = edge.New(d.facade, d.clock, &gatedBackend{open: open}) })
 	return d, open
 }
 
-// tick runs what is due in the decisions, and the clock, until stop is called: a host takes a few requests at a time.
-func (d *door) tick() (stop func()) {
+// advanceClock advances the clock and runs the dispatcher's timers until stop is called. Without that, the
+// requests beyond the few that a host takes at a time would never be routed.
+func (d *door) advanceClock() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		for ctx.Err() == nil {
@@ -63,12 +64,13 @@
 	return cancel
 }
 
-// longReport is a request of n bytes, about.
+// longReport returns a request of about n bytes.
 func longReport(id string, n int) string {
 	return report(id) + " -- " + strings.Repeat("x", n)
 }
 
-// sendAhead sends requests without waiting for answers, on a goroutine; the channel is closed once all are written.
+// sendAhead pipelines requests of about size bytes each on a goroutine. The returned channel is closed once
+// all are written.
 func (d *door) sendAhead(t *testing.T, name string, requests, size int) (net.Conn, chan struct{}) {
 	c, err := net.Dial("tcp", d.address)
 	require.NoError(t, err)
@@ -86,7 +88,8 @@
 	return c, written
 }
 
-// answersOf reads the answer of each of n requests: "served", or severity and code of its error.
+// answersOf reads the answers of n requests, each as "served" or as the severity and code of its error. A
+// fatal error is the last answer.
 func answersOf(t *testing.T, c net.Conn, n int) (got []string) {
 	f := pgproto3.NewFrontend(c, io.Discard)
 	last := ""
@@ -110,8 +113,9 @@
 	return got
 }
 
-// serves counts the answers that were served; all others have to be rejections, which promise that nothing ran.
-func serves(t *testing.T, answers []string) (n int) {
+// countServed counts the requests that were served. All others must have been rejected, which promises that
+// nothing ran.
+func countServed(t *testing.T, answers []string) (n int) {
 	for i, a := range answers {
 		if a == "served" {
 			n++
@@ -122,9 +126,10 @@
 	return n
 }
 
-// A client pipelines more than is read ahead of its answers while its first request is under way. Each request gets its
-// answer, in order: those within the bound are served, those beyond it are rejected. None is lost by a close.
-func TestAClientThatPipelinesMuchGetsEveryAnswer(t *testing.T) {
+// A client pipelines more than the read-ahead limit while its first request is under way. Every request is
+// answered, in order: those within the limit are served and those beyond it are rejected. None is lost
+// because its connection is closed.
+func TestEveryPipelinedRequestIsAnswered(t *testing.T) {
 	const requests, size = 200, 4 << 10
 	d, open := listenGated(t, FrontLimits{Clients: 16, Bytes: maxUnreadBytes * readAheadFraction, RetryAfterMillis: 300})
 	c, written := d.sendAhead(t, "a", requests, size)
@@ -135,14 +140,15 @@
 	close(open)
 	answers := answersOf(t, c, requests)
 	require.Len(t, answers, requests)
-	require.GreaterOrEqual(t, serves(t, answers), maxUnreadBytes/2/size)
+	require.GreaterOrEqual(t, countServed(t, answers), maxUnreadBytes/2/size)
 	require.Equal(t, "served", answers[0])
-	require.Contains(t, answers, "ERROR 53300", "more was sent than is read ahead")
+	require.Contains(t, answers, "ERROR 53300", "more was sent than the read-ahead limit")
 	d.on(func() { require.LessOrEqual(t, d.unreadBytes, 0) })
 }
 
-// Clients that pipeline hold more together than all may. The bound holds, and each request still gets its answer.
-func TestClientsThatPipelineTogetherGetEveryAnswer(t *testing.T) {
+// Several clients together pipeline more than the limit for all clients. The limit holds, and every request
+// is answered.
+func TestPipelinedRequestsOfManyClientsAreAnswered(t *testing.T) {
 	const clients, requests, size, bound = 12, 40, 4 << 10, 512 << 10
 	d, open := listenGated(t, FrontLimits{Clients: 64, Bytes: bound, RetryAfterMillis: 300})
 	var all []net.Conn
@@ -158,13 +164,13 @@
 		return held > bound/2 && held <= bound
 	}, 10*time.Second, time.Millisecond)
 	close(open)
-	stop := d.tick()
+	stop := d.advanceClock()
 	defer stop()
 	served := 0
 	for _, c := range all {
 		answers := answersOf(t, c, requests)
 		require.Len(t, answers, requests)
-		served += serves(t, answers)
+		served += countServed(t, answers)
 	}
-	require.GreaterOrEqual(t, served, clients, "those that were under way")
+	require.GreaterOrEqual(t, served, clients, "the requests that were under way")
 }
--- a/internal/net/pg/session_client.go
+++ b/internal/net/pg/session_client.go
@@ -266,9 +266,9 @@
 	return action
 }
 
-// awaitServer writes out to the server if more than highWaterBytes are unsent or reads from the server are
-// paused. more is false if that is still so afterwards: reads from the client are then paused until the
-// server has taken the bytes.
+// awaitServer writes the buffer out to the server if more than highWaterBytes are unsent or reads from the
+// server are paused. more is false if that is still so afterwards: reads from the client are then paused
+// until the server has taken the bytes.
 func (c *sessionClient) awaitServer(out []byte) (_ []byte, more bool) {
 	s := c.server
 	if s == nil || !s.wire.Paused() && s.wire.UnsentBytes()+len(out) <= highWaterBytes {
@@ -319,7 +319,7 @@
 	return out, true, action
 }
 
-// writeServer writes out to the server, if any, and returns the emptied buffer.
+// writeServer writes the buffer out to the server, if the client is linked to one, and returns it emptied.
 func (c *sessionClient) writeServer(out []byte) []byte {
 	if len(out) > 0 && c.server != nil {
 		c.server.requestSent = true
--- a/internal/net/pg/session_front.go
+++ b/internal/net/pg/session_front.go
@@ -123,7 +123,7 @@
 // of the guarantee detects the violation.
 func (f *SessionFront) Break(guarantee string) { f.disabledGuarantee.Store(guarantee) }
 
-// SetLimits replaces the limits and pools. They apply to what follows, not to what is under way.
+// SetLimits replaces the limits and pools from now on.
 func (f *SessionFront) SetLimits(limits SessionLimits) {
 	f.limits.Store(&limits)
 	f.onLoop(func() { f.catalogue.SetMaxBytes(limits.Bytes) })
--- a/internal/net/pg/session_limits.go
+++ b/internal/net/pg/session_limits.go
@@ -63,7 +63,7 @@
 const (
 	maxBufferedMessageBytes = 64 << 10             // longer messages from a server are streamed
 	highWaterBytes          = 256 << 10            // bytes unsent to a peer above which reads from the other side are paused
-	lowWaterBytes           = 64 << 10             // bytes unsent to a peer below which they are resumed
+	lowWaterBytes           = 64 << 10             // bytes unsent to a peer below which paused reads are resumed
 	resumeInterval          = 5 * time.Millisecond // between two checks whether paused connections may be resumed
 	maxReportedParameters   = 256                  // a host that reports parameters without end would exhaust the memory
 	replyMarginMillis       = 4.0                  // least time that a rejection needs to reach its client before the deadline
--- a/internal/net/pg/session_replay.go
+++ b/internal/net/pg/session_replay.go
@@ -18,7 +18,7 @@
 const maxRetainedRecordBytes = 4 << 10 // most statements are shorter; larger buffers are not retained
 
 // recordMessage adds a message of a transaction's first statement to the record. It discards the record if
-// the statement can't be replayed: the messages hold more than one statement, name one in a Parse, are of
+// the statement can't be replayed: the messages hold more than one statement, prepare a named one, are of
 // another kind, or exceed a limit.
 func (c *sessionClient) recordMessage(kind byte, body, message []byte) {
 	f := c.front
--- a/internal/net/pg/session_routing.go
+++ b/internal/net/pg/session_routing.go
@@ -121,8 +121,8 @@
 	}()
 }
 
-// hostPicked carries out a routing decision: it takes a server connection, waits for one, or rejects the
-// transaction.
+// hostPicked carries out a routing decision: it takes a server connection, waits for one, rejects the
+// transaction, or fails it.
 func (c *sessionClient) hostPicked(decision dispatch.Decision) {
 	f := c.front
 	switch decision.Verdict {
--- a/internal/net/pg/sessions_test.go
+++ b/internal/net/pg/sessions_test.go
@@ -35,7 +35,7 @@
   {"name":"report","aim_ms":7500,"deadline_ms":15000,"worth":4,"late_share":0.2,"effect":"idempotent"},
   {"name":"donate","aim_ms":1000,"deadline_ms":3000,"worth":3,"late_share":0.3,"effect":"at_most_once"}]}`
 
-// pooled is a front in transaction mode before a primary and a replica.
+// pooled is a session front in transaction mode with a primary, a, and a replica, b.
 type pooled struct {
 	t       testing.TB
 	address string
@@ -45,6 +45,7 @@
 	a, b    *lab.Host
 }
 
+// members lists both hosts as endpoints, with those named in drain as draining.
 func (w *pooled) members(drain ...string) {
 	var ms []dispatch.Endpoint
 	for _, h := range []*lab.Host{w.a, w.b} {
@@ -53,8 +54,8 @@
 	w.facade.UpdateEndpoints(true, ms)
 }
 
-// pool starts all of it; change may alter the limits.
-func pool(t testing.TB, change func(l *SessionLimits), homes ...Assignments) *pooled {
+// pool starts the front and its hosts. change, unless nil, modifies the limits.
+func pool(t testing.TB, change func(l *SessionLimits), assignments ...Assignments) *pooled {
 	l := SessionLimits{
 		Clients: 100, Servers: 20, Bytes: 4 << 20, Message: 1 << 20, RetryAfterMillis: 50, ConnectTimeout: time.Second,
 		Pools: []PoolSettings{{
@@ -82,8 +83,8 @@
 	}, nil)
 	require.NoError(t, err)
 	w.front = NewSessionFront(e, w.facade, clock.System(), Platform, l)
-	if len(homes) > 0 {
-		w.front.SetAssignments(homes[0])
+	if len(assignments) > 0 {
+		w.front.SetAssignments(assignments[0])
 	}
 	for _, h := range []*lab.Host{w.a, w.b} {
 		p.SetAddress(h.Name, h.Address)
@@ -107,6 +108,7 @@
 	return w
 }
 
+// connect opens a session with additional connection parameters.
 func (w *pooled) connect(params string) *pgx.Conn {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -116,12 +118,14 @@
 	return c
 }
 
+// patient returns a context with a timeout that is long enough for any statement of a test.
 func patient(t testing.TB) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	t.Cleanup(cancel)
 	return ctx
 }
 
+// exec runs a statement that has to succeed and returns its command tag.
 func (w *pooled) exec(c *pgx.Conn, text string, args ...any) string {
 	w.t.Helper()
 	tag, err := c.Exec(patient(w.t), text, args...)
@@ -129,13 +133,14 @@
 	return tag.String()
 }
 
-func (w *pooled) one(c *pgx.Conn, text string, args ...any) (v string) {
+// queryValue returns the single value of a query.
+func (w *pooled) queryValue(c *pgx.Conn, text string, args ...any) (v string) {
 	w.t.Helper()
 	require.NoError(w.t, c.QueryRow(patient(w.t), text, args...).Scan(&v), text)
 	return v
 }
 
-// state of an error, or "".
+// state returns the SQLSTATE of an error, its text if it has none, or "" for nil.
 func state(err error) string {
 	if err == nil {
 		return ""
@@ -147,6 +152,7 @@
 	return err.Error()
 }
 
+// fails runs a statement that has to fail with the SQLSTATE code.
 func (w *pooled) fails(c *pgx.Conn, code, text string, args ...any) {
 	w.t.Helper()
 	_, err := c.Exec(patient(w.t), text, args...)
@@ -158,55 +164,55 @@
 	x, y := w.connect("&application_name=x"), w.connect("")
 	w.exec(x, "SET app.who TO 'x''s'")
 	w.exec(y, "SET app.who TO E'y\\n'")
-	for range 3 { // both through the one connection
-		require.Equal(t, "x's", w.one(x, "SELECT current_setting('app.who')"))
-		require.Equal(t, "y\n", w.one(y, "SELECT current_setting('app.who')"))
-		require.Equal(t, "x", w.one(x, "SHOW application_name"))
-		require.Equal(t, "", w.one(y, "SHOW application_name"))
-		require.Equal(t, "7", w.one(x, "SELECT $1", "7"))
-		require.Equal(t, "8", w.one(y, "SELECT $1", "8"))
+	for range 3 { // both share one server connection
+		require.Equal(t, "x's", w.queryValue(x, "SELECT current_setting('app.who')"))
+		require.Equal(t, "y\n", w.queryValue(y, "SELECT current_setting('app.who')"))
+		require.Equal(t, "x", w.queryValue(x, "SHOW application_name"))
+		require.Equal(t, "", w.queryValue(y, "SHOW application_name"))
+		require.Equal(t, "7", w.queryValue(x, "SELECT $1", "7"))
+		require.Equal(t, "8", w.queryValue(y, "SELECT $1", "8"))
 	}
-	// A setting changed in a transaction that is rolled back, and after a savepoint that is.
+	// A setting changed in a transaction, and after a savepoint, that is rolled back.
 	w.exec(x, "BEGIN")
 	w.exec(x, "SET app.who TO 1")
 	w.exec(x, "SAVEPOINT s")
 	w.exec(x, "SET app.who TO 2")
 	w.exec(x, "ROLLBACK TO s")
-	require.Equal(t, "1", w.one(x, "SHOW app.who"))
+	require.Equal(t, "1", w.queryValue(x, "SHOW app.who"))
 	w.exec(x, "ROLLBACK")
-	require.Equal(t, "y\n", w.one(y, "SHOW app.who"))
-	require.Equal(t, "x's", w.one(x, "SHOW app.who"))
-	// RESET goes back to what the client connected with, also within the block.
+	require.Equal(t, "y\n", w.queryValue(y, "SHOW app.who"))
+	require.Equal(t, "x's", w.queryValue(x, "SHOW app.who"))
+	// RESET restores the value with which the client connected, also within a block.
 	w.exec(x, "SET application_name TO other")
 	w.exec(x, "BEGIN")
 	w.exec(x, "RESET application_name")
-	require.Equal(t, "x", w.one(x, "SHOW application_name"))
+	require.Equal(t, "x", w.queryValue(x, "SHOW application_name"))
 	w.exec(x, "COMMIT")
 	require.Equal(t, "x", x.PgConn().ParameterStatus("application_name"))
-	// COMMIT of a failed transaction.
+	// COMMIT of a failed transaction rolls back.
 	w.exec(x, "BEGIN")
 	w.exec(x, "SET app.who TO 3")
 	w.fails(x, "22012", "SELECT 1/0")
 	w.fails(x, "25P02", "SELECT 1")
 	require.Equal(t, "ROLLBACK", w.exec(x, "COMMIT"))
-	require.Equal(t, "x's", w.one(x, "SHOW app.who"))
+	require.Equal(t, "x's", w.queryValue(x, "SHOW app.who"))
 	w.exec(x, "SET application_name TO other")
-	w.exec(x, "DISCARD ALL") // and so of pgx's statements, which it does not know
+	w.exec(x, "DISCARD ALL") // which also discards pgx's prepared statements, without pgx noticing
 	w.fails(x, "42704", "SELECT current_setting('app.who')")
 	require.Equal(t, "x", x.PgConn().ParameterStatus("application_name"))
-	require.LessOrEqual(t, w.a.Open(), 2, "one, and the probes'")
+	require.LessOrEqual(t, w.a.Open(), 2, "the pool's connection and the probes'")
 }
 
 func TestSessionsSurviveLostConnections(t *testing.T) {
 	w := pool(t, nil)
 	c := w.connect("&application_name=c")
 	w.exec(c, "SET app.who TO me")
-	require.Equal(t, "1", w.one(c, "SELECT $1", "1"))
-	w.a.Cut() // outside of a transaction: nobody learns of it
+	require.Equal(t, "1", w.queryValue(c, "SELECT $1", "1"))
+	w.a.Cut() // outside of a transaction: the client does not notice
 	time.Sleep(20 * time.Millisecond)
-	require.Equal(t, "2", w.one(c, "SELECT $1", "2"))
-	require.Equal(t, "me", w.one(c, "SHOW app.who"))
-	// In a block: rolled back, and the client may run it again on the same connection of its own.
+	require.Equal(t, "2", w.queryValue(c, "SELECT $1", "2"))
+	require.Equal(t, "me", w.queryValue(c, "SHOW app.who"))
+	// In a block: it is rolled back, and the client may run it again in the same session.
 	w.exec(c, "BEGIN")
 	w.exec(c, "INSERT INTO entries (ref, payload) VALUES ('lost', '1')")
 	w.a.Cut()
@@ -215,8 +221,9 @@
 	w.fails(c, "25P02", "SELECT 1")
 	w.exec(c, "ROLLBACK")
 	require.Zero(t, w.cluster.Versions("public", "entries", "lost"))
-	require.Equal(t, "me", w.one(c, "SHOW app.who"))
-	// Before and after the commit took effect: in doubt both times, and never run again by us.
+	require.Equal(t, "me", w.queryValue(c, "SHOW app.who"))
+	// Before and after the commit took effect: reported as in doubt both times, and never run again by the
+	// pooler.
 	for name, f := range map[string]lab.Faults{"before": {CutBefore: 1}, "after": {CutAfter: 1}} {
 		w.a.SetFaults(f)
 		w.exec(c, "BEGIN")
@@ -227,24 +234,24 @@
 		require.Equal(t, len(name)%2, w.cluster.Versions("public", "entries", name)) // "after" has five letters
 		require.Equal(t, len(name)%2, w.cluster.Versions("public", "entries", name+"2"))
 	}
-	// A statement prepared just before its connection is lost.
+	// A statement is prepared just before its connection is lost.
 	_, err := c.Prepare(patient(t), "mine", "SELECT $1")
 	require.NoError(t, err)
 	w.a.Cut()
 	time.Sleep(20 * time.Millisecond)
-	require.Equal(t, "3", w.one(c, "mine", "3"))
-	// A failover: the next transaction goes to the new primary, with all that the session has.
+	require.Equal(t, "3", w.queryValue(c, "mine", "3"))
+	// A failover: the next transaction goes to the new primary, with the session's settings and statements.
 	w.cluster.Fail(w.b, 0, true)
 	w.members()
 	require.Eventually(t, func() bool {
 		_, err := c.Exec(patient(t), "INSERT INTO entries (ref, payload) VALUES ('moved', '1')")
 		return err == nil
 	}, 10*time.Second, 20*time.Millisecond)
-	require.Equal(t, "me", w.one(c, "SHOW app.who"))
-	require.Equal(t, "4", w.one(c, "mine", "4"))
+	require.Equal(t, "me", w.queryValue(c, "SHOW app.who"))
+	require.Equal(t, "4", w.queryValue(c, "mine", "4"))
 }
 
-func TestSessionsPinWhatCanNotBeCarried(t *testing.T) {
+func TestSessionsWithUntransferableStateAreSticky(t *testing.T) {
 	w := pool(t, nil)
 	c, d, e := w.connect(""), w.connect(""), w.connect("")
 	for _, p := range []*pgx.Conn{c, d} {
@@ -252,11 +259,11 @@
 	}
 	w.exec(c, "INSERT INTO mine (ref, payload) VALUES ('k', 'c')")
 	w.exec(d, "INSERT INTO mine (ref, payload) VALUES ('k', 'd')")
-	require.Equal(t, "c", w.one(c, "SELECT payload FROM mine WHERE ref = 'k'"))
-	require.Equal(t, "d", w.one(d, "SELECT payload FROM mine WHERE ref = 'k'"))
-	w.fails(e, "53300", "LISTEN x") // two are the most
-	require.Equal(t, "1", w.one(e, "SELECT $1", "1"))
-	// An error in mid-pipeline, here one of ours, and what is behind it: the transaction fails as a whole.
+	require.Equal(t, "c", w.queryValue(c, "SELECT payload FROM mine WHERE ref = 'k'"))
+	require.Equal(t, "d", w.queryValue(d, "SELECT payload FROM mine WHERE ref = 'k'"))
+	w.fails(e, "53300", "LISTEN x") // MaxSticky is two
+	require.Equal(t, "1", w.queryValue(e, "SELECT $1", "1"))
+	// An error of the pooler's in the middle of a pipeline: the transaction fails as a whole.
 	_, err := e.PgConn().ExecParams(patient(t), "LISTEN x", nil, nil, nil, nil).Close()
 	require.Equal(t, "53300", state(err))
 	require.Equal(t, map[session.StickyCause]int{session.CauseTemporary: 2}, w.front.Stats().Sticky)
@@ -279,7 +286,7 @@
 			time.Sleep(wait)
 			_ = c.PgConn().CancelRequest(patient(t))
 		}()
-		_, err := c.Exec(patient(t), "SELECT pg_sleep(0.01)") // some cancels arrive as it ends
+		_, err := c.Exec(patient(t), "SELECT pg_sleep(0.01)") // some cancel requests arrive as the query ends
 		require.Contains(t, []string{"", "57014"}, state(err))
 		_, err = d.Exec(patient(t), "SELECT pg_sleep(0.02)")
 		require.NoError(t, err, "the next session's query on the same connection")
@@ -293,8 +300,8 @@
 	require.NoError(t, err)
 	require.True(t, rows.Next())
 	require.Eventually(t, func() bool { return w.front.Stats().ReadsPaused > 0 }, 10*time.Second, 5*time.Millisecond)
-	for i := range 50 { // nobody else waits for it
-		require.Equal(t, fmt.Sprint(i), w.one(quick, "SELECT $1", fmt.Sprint(i)))
+	for i := range 50 { // other sessions are not delayed by it
+		require.Equal(t, fmt.Sprint(i), w.queryValue(quick, "SELECT $1", fmt.Sprint(i)))
 	}
 	n := 1
 	for rows.Next() {
@@ -302,24 +309,25 @@
 	}
 	require.NoError(t, rows.Err())
 	require.Equal(t, 300, n)
-	require.Equal(t, "1", w.one(slow, "SELECT $1", "1"))
+	require.Equal(t, "1", w.queryValue(slow, "SELECT $1", "1"))
 }
 
-// Guards against clients that ask and never read, each within its own bound.
-func TestSessionsThatTakeNoAnswersAreBoundedTogether(t *testing.T) {
+// Guards against clients that send queries and never read the answers: each stays within its own bound, but
+// together they would exhaust the memory.
+func TestUnsentBytesOfAllSessionsAreBounded(t *testing.T) {
 	w := pool(t, func(l *SessionLimits) { l.Bytes = 400 << 10 })
-	ask := appendQuery(startupMessage("web", "orders"), func(b []byte) []byte { return append(b, "SELECT generate_series(1, 30), repeat('x', 200000)"...) })
+	query := appendQuery(startupMessage("web", "orders"), func(b []byte) []byte { return append(b, "SELECT generate_series(1, 30), repeat('x', 200000)"...) })
 	for range 30 {
 		c, err := net.Dial("tcp", w.address)
 		require.NoError(t, err)
 		t.Cleanup(func() { c.Close() })
 		require.NoError(t, c.(*net.TCPConn).SetReadBuffer(4096))
-		_, err = c.Write(ask)
+		_, err = c.Write(query)
 		require.NoError(t, err)
 	}
 	reader := w.connect("")
-	require.Eventually(t, func() bool { return w.front.Stats().Clients <= 30 }, 10*time.Second, 10*time.Millisecond, "the slowest goes")
-	require.Equal(t, "1", w.one(reader, "SELECT $1", "1"))
+	require.Eventually(t, func() bool { return w.front.Stats().Clients <= 30 }, 10*time.Second, 10*time.Millisecond, "the slowest client is disconnected")
+	require.Equal(t, "1", w.queryValue(reader, "SELECT $1", "1"))
 }
 
 func TestSessionsCopyAndPipelines(t *testing.T) {
@@ -336,8 +344,8 @@
 	_, err = c.CopyFrom(patient(t), pgx.Identifier{"entries"}, []string{"ref", "payload"}, pgx.CopyFromRows(in))
 	require.Contains(t, []string{"40001", "08007"}, state(err))
 	w.a.SetFaults(lab.Faults{})
-	require.Equal(t, "1", w.one(c, "SELECT $1", "1"))
-	// A pipeline with an error in the middle and Parses behind it.
+	require.Equal(t, "1", w.queryValue(c, "SELECT $1", "1"))
+	// A pipeline with an error in the middle and Parse messages behind it.
 	p := c.PgConn().StartPipeline(patient(t))
 	p.SendPrepare("one", "SELECT 1", nil)
 	p.SendQueryParams("SELECT 1/0", nil, nil, nil, nil)
@@ -367,7 +375,7 @@
 	w.fails(c, "26000", "EXECUTE two")
 	require.Equal(t, "SELECT 1", w.exec(c, "EXECUTE three"))
 	var wg sync.WaitGroup
-	for i := range 8 { // one name, different texts
+	for i := range 8 { // the same statement name with different texts
 		wg.Go(func() {
 			c, err := pgx.Connect(patient(t), "postgres://web@"+w.address+"/orders?sslmode=disable")
 			if err != nil {
@@ -403,18 +411,18 @@
 	}()
 	require.Eventually(t, func() bool { return w.front.Stats().Waiting == 1 }, 5*time.Second, time.Millisecond)
 	begun := time.Now()
-	_, err := e.Exec(patient(t), "SELECT 1") // no room to wait: refused at once
+	_, err := e.Exec(patient(t), "SELECT 1") // the queue is full: rejected at once
 	require.Equal(t, "53300", state(err))
 	var rejected *pgconn.PgError
 	require.ErrorAs(t, err, &rejected)
 	require.Equal(t, "50", rejected.Detail)
 	require.Less(t, time.Since(begun), 100*time.Millisecond)
-	require.Equal(t, "53300", <-waited, "its patience is over")
+	require.Equal(t, "53300", <-waited, "its wait timeout has passed")
 	time.Sleep(500 * time.Millisecond)
-	w.fails(c, "25P03", "SELECT 1") // idle in its transaction for too long
+	w.fails(c, "25P03", "SELECT 1") // idle in its transaction for longer than IdleInTransactionMillis
 	w.exec(c, "ROLLBACK")
-	require.Equal(t, "1", w.one(d, "SELECT $1", "1"))
-	// A drain: nothing new goes there, and what is in a transaction finishes.
+	require.Equal(t, "1", w.queryValue(d, "SELECT $1", "1"))
+	// A host drains: no new transaction goes there, and a running one finishes.
 	w.exec(c, "BEGIN")
 	w.exec(c, "INSERT INTO entries (ref, payload) VALUES ('d', '1')")
 	w.a.Drain(true)
@@ -424,7 +432,7 @@
 	require.Equal(t, 1, w.cluster.Versions("public", "entries", "d"))
 }
 
-func TestSessionsTakeBadMessages(t *testing.T) {
+func TestSessionsRejectMalformedMessages(t *testing.T) {
 	w := pool(t, nil)
 	c := w.connect("")
 	startup := startupMessage("web", "orders")
@@ -453,36 +461,37 @@
 		require.Contains(t, string(got), "08P01", name)
 		g.Close()
 	}
-	require.Equal(t, "1", w.one(c, "SELECT $1", "1"))
+	require.Equal(t, "1", w.queryValue(c, "SELECT $1", "1"))
 	require.Eventually(t, func() bool { return w.front.Stats().Clients == 1 }, 5*time.Second, 5*time.Millisecond)
 	_, err := pgx.Connect(patient(t), "postgres://web@"+w.address+"/orders?sslmode=disable&options=-c%20statement_timeout%3Dsoon")
-	require.NoError(t, err, "the session has no connection yet")
+	require.NoError(t, err, "the session has no server connection yet that could reject the setting")
 }
 
-func TestSessionsAreLetGoOf(t *testing.T) {
+func TestSessionResourcesAreReleased(t *testing.T) {
 	w := pool(t, nil)
 	c, d := w.connect(""), w.connect("")
 	w.exec(c, "BEGIN")
 	w.exec(c, "INSERT INTO entries (ref, payload) VALUES ('vanished', '1')")
 	_ = c.PgConn().Conn().(*net.TCPConn).SetLinger(0)
-	c.PgConn().Conn().Close() // without a word, in a transaction
+	c.PgConn().Conn().Close() // without a Terminate, in a transaction
 	require.Eventually(t, func() bool { return w.front.Stats().Clients == 1 }, 5*time.Second, time.Millisecond)
-	require.Equal(t, "1", w.one(d, "SELECT $1", "1"))
+	require.Equal(t, "1", w.queryValue(d, "SELECT $1", "1"))
 	require.Zero(t, w.cluster.Versions("public", "entries", "vanished"))
-	// Ten thousand statements of one client: a server connection holds 50 of them, the pooler no more than its memory.
+	// Ten thousand statements of one client: a server connection holds 50 of them, and the pooler as many as
+	// its memory bound allows.
 	for i := range 10000 {
 		if _, err := d.Prepare(patient(t), fmt.Sprint("s", i), fmt.Sprintf("SELECT 'number %d'", i)); err != nil {
 			t.Fatal(i, err)
 		}
 	}
 	for _, i := range []int{0, 9999, 5000, 1} {
-		require.Equal(t, fmt.Sprint("number ", i), w.one(d, fmt.Sprint("s", i)))
+		require.Equal(t, fmt.Sprint("number ", i), w.queryValue(d, fmt.Sprint("s", i)))
 	}
 	s := w.front.Stats()
-	require.Equal(t, 10000+1, s.Statements, "and pgx's own")
+	require.Equal(t, 10000+1, s.Statements, "the test's statements and one of pgx's own")
 	_ = d.Close(patient(t))
 	require.Eventually(t, func() bool { return w.front.Stats().Statements == 0 }, 5*time.Second, time.Millisecond)
-	// The bound on memory is an error to one Parse, not to the session.
+	// Exceeding the memory bound fails the one Parse, not the session.
 	w.front.SetLimits(SessionLimits{Clients: 10, Servers: 5, Bytes: 20000, Message: 1 << 20, ConnectTimeout: time.Second, Pools: w.front.limits.Load().Pools})
 	e := w.connect("")
 	var err error
@@ -490,10 +499,10 @@
 		_, err = e.Prepare(patient(t), fmt.Sprint("s", i), fmt.Sprintf("SELECT 'number %d'", i))
 	}
 	require.Equal(t, "53200", state(err))
-	require.Equal(t, "number 3", w.one(e, "s3"))
+	require.Equal(t, "number 3", w.queryValue(e, "s3"))
 }
 
-func TestSessionsProveTheirPassword(t *testing.T) {
+func TestSessionsAuthenticateWithSCRAM(t *testing.T) {
 	client, err := scram.SHA256.NewClient("web", "right", "")
 	require.NoError(t, err)
 	stored, err := client.GetStoredCredentialsWithError(scram.KeyFactors{Salt: "salt of sixteen.", Iters: 4096})
@@ -507,7 +516,7 @@
 		switch want {
 		case "":
 			require.NoError(t, err)
-			require.Equal(t, "1", w.one(c, "SELECT $1", "1"))
+			require.Equal(t, "1", w.queryValue(c, "SELECT $1", "1"))
 			_ = c.Close(patient(t))
 		case "no password":
 			require.Error(t, err)
@@ -535,20 +544,20 @@
 		return c
 	}
 	c := connect()
-	pid := w.one(c, "SELECT pg_backend_pid()")
+	pid := w.queryValue(c, "SELECT pg_backend_pid()")
 	w.exec(c, "SET app.mode TO session")
-	w.exec(c, "CREATE TEMP TABLE mine (a int)") // binds nothing that is not bound
+	w.exec(c, "CREATE TEMP TABLE mine (a int)") // the session keeps its connection anyway
 	for range 5 {
-		require.Equal(t, pid, w.one(c, "SELECT pg_backend_pid()"))
+		require.Equal(t, pid, w.queryValue(c, "SELECT pg_backend_pid()"))
 	}
 	d := connect()
-	require.NotEqual(t, pid, w.one(d, "SELECT pg_backend_pid()"))
-	// The connection of one who leaves serves the next, who finds nothing of his.
+	require.NotEqual(t, pid, w.queryValue(d, "SELECT pg_backend_pid()"))
+	// The connection of a session that ends serves the next one, which finds no state of the former.
 	_ = d.Close(patient(t))
 	e := connect()
-	require.Equal(t, "1", w.one(e, "SELECT $1", "1"))
+	require.Equal(t, "1", w.queryValue(e, "SELECT $1", "1"))
 	w.fails(e, "42704", "SELECT current_setting('app.mode')")
-	// A drain moves whoever is bound to nothing; what is bound is told.
+	// When the host drains, sessions without sticky state move to another host, and sticky ones get an error.
 	w.cluster.Fail(w.b, 0, false)
 	w.a.Drain(true)
 	w.members("a")
@@ -557,19 +566,19 @@
 		return err == nil
 	}, 10*time.Second, 20*time.Millisecond)
 	time.Sleep(1100 * time.Millisecond)
-	w.fails(c, "08006", "SELECT 1") // of its temporary table
-	require.Equal(t, "session", w.one(c, "SELECT current_setting('app.mode')"), "the settings go with it")
+	w.fails(c, "08006", "SELECT 1") // its temporary table is lost
+	require.Equal(t, "session", w.queryValue(c, "SELECT current_setting('app.mode')"), "the settings are restored on the new connection")
 	require.Zero(t, w.a.Counts.All()["sent_to_draining"])
 }
 
-func TestSessionsKeepToWhatASessionHasCommitted(t *testing.T) {
+func TestSessionsReadTheirOwnCommits(t *testing.T) {
 	w := pool(t, nil)
 	w.b.SetLag(400 * time.Millisecond)
 	time.Sleep(100 * time.Millisecond)
 	c := w.connect("")
 	for i := range 10 {
 		w.exec(c, "INSERT INTO entries (ref, payload) VALUES ('mine', $1)", fmt.Sprint(i))
-		require.Equal(t, fmt.Sprint(i), w.one(c, "/* c=my-library */ SELECT payload FROM entries WHERE ref = 'mine'"))
+		require.Equal(t, fmt.Sprint(i), w.queryValue(c, "/* c=my-library */ SELECT payload FROM entries WHERE ref = 'mine'"))
 		tx, err := c.BeginTx(patient(t), pgx.TxOptions{AccessMode: pgx.ReadOnly})
 		require.NoError(t, err)
 		var v string
@@ -577,14 +586,15 @@
 		require.Equal(t, fmt.Sprint(i), v)
 		require.NoError(t, tx.Commit(patient(t)))
 	}
-	// Once the replica has it, it serves.
-	require.Eventually(t, func() bool { return w.one(c, "/* c=my-library */ SELECT pg_is_in_recovery()") == "t" }, 10*time.Second, 50*time.Millisecond)
+	// Once the replica has caught up, it serves the reads.
+	require.Eventually(t, func() bool { return w.queryValue(c, "/* c=my-library */ SELECT pg_is_in_recovery()") == "t" }, 10*time.Second, 50*time.Millisecond)
 	w.fails(c, "08P01", "/* c=nonsense */ SELECT 1")
 	w.fails(c, "08P01", "/* c=browse,d=soon */ SELECT 1")
 }
 
-// Guards against a connection that is given away twice: its client resets as the answer is written to it.
-func TestSessionsVanishAsTheirAnswersCome(t *testing.T) {
+// Guards against a server connection that returns to its pool twice, which happens if its client resets while
+// the answer is being written to it.
+func TestSessionsResetDuringResponses(t *testing.T) {
 	w := pool(t, func(l *SessionLimits) { l.Pools[0].Sizes.MaxConnections = 2 })
 	end := time.Now().Add(1500 * time.Millisecond)
 	var all sync.WaitGroup
@@ -619,5 +629,5 @@
 	require.Eventually(t, func() bool {
 		s := w.front.Stats()
 		return s.Clients == 6 && s.Linked == 0 && s.Servers == s.ServersIdle && s.Servers <= 4
-	}, 5*time.Second, 10*time.Millisecond, "nothing is lost count of: %+v", w.front.Stats())
+	}, 5*time.Second, 10*time.Millisecond, "all connections are accounted for: %+v", w.front.Stats())
 }
