--- a/routing/capacity.go
+++ b/routing/capacity.go
@@ -5,57 +5,58 @@
 	"time"
 )
 
-// demonstratedLoad is what members in one role have borne.
+// demonstratedLoad is the load that the members in one role have served in time.
 type demonstratedLoad struct {
-	answers float64 // that came in time
-	seconds float64 // of all members in the role, added up
+	answers float64 // number of timely answers, decayed
+	seconds float64 // observed time, decayed, added up over all members in the role
 }
 
-// perSecond is what one such member has borne.
+// perSecond returns the rate at which one such member has answered in time.
 func (d *demonstratedLoad) perSecond() float64 {
 	return d.answers / max(d.seconds, minHistory.Seconds())
 }
 
-// advance forgets a part of what was seen, and adds the time in which the next is seen.
-func (d *demonstratedLoad) advance(keep, seconds float64) {
-	d.answers *= keep
-	d.seconds = d.seconds*keep + seconds
+// advance decays what was observed so far and adds observed time.
+func (d *demonstratedLoad) advance(decay, seconds float64) {
+	d.answers *= decay
+	d.seconds = d.seconds*decay + seconds
 }
 
-// loadHistory is what one router knows of the load of a group, smoothed over about one slow start. What
-// a host can bear is a property of that host. It is inferred from what members have borne while the
-// group was settled, and from nothing else: neither what is asked at the moment, nor how few members
-// are left, nor what the others bear in their place shows that a host can bear more.
+// loadHistory is what one router knows of the load of a group, exponentially smoothed over about the duration
+// of one slow start. What a host can bear is a property of that host. It is inferred only from what members
+// have served while the group was settled: neither the present request rate, nor a small number of remaining
+// members, nor the load that the other members take over shows that a host can bear more.
 type loadHistory struct {
 	replicas, primary demonstratedLoad
-	requests          float64       // of this router, for the group
-	seconds           float64       // in which they came
-	memberCount       int           // the largest lately, see usualMembers
-	memberCountAt     time.Duration // when it was last so large
+	requests          float64       // requests of this router for the group, decayed
+	seconds           float64       // time in which they arrived, decayed
+	memberCount       int           // the largest recent value of usualMemberCount
+	memberCountAt     time.Duration // when the group last had that many members
 	updatedAt         time.Duration
 }
 
-// requestsPerSecond is how often this router is asked for the group.
+// requestsPerSecond returns the rate of this router's requests for the group.
 func (h *loadHistory) requestsPerSecond() float64 {
 	return h.requests / max(h.seconds, minHistory.Seconds())
 }
 
-// replicaCount is how many replicas the group has when it is complete.
+// replicaCount returns the number of replicas of the complete group.
 func (h *loadHistory) replicaCount() int { return max(1, h.memberCount-1) }
 
-// usualMembers is how many members a group has by its list: those that are active, or those that were
-// there before it began to change, if they are more.
-func (r *Router) usualMembers(g *group) int {
-	before := 0
+// usualMemberCount returns the number of members of a group: those that are active or, if they are more,
+// those that were there before the group began to change (listed, perhaps draining, and not warming).
+func (r *Router) usualMemberCount(g *group) int {
+	established := 0
 	for _, m := range g.members {
 		if m.listed && !r.isWarming(m) {
-			before++
+			established++
 		}
 	}
-	return max(g.activeCount(), before)
+	return max(g.activeCount(), established)
 }
 
-// isSettled reports whether nothing changes in a group of so many members: all are there and warm.
+// isSettled reports whether a group is complete and unchanging: it has memberCount active members, all of
+// them warm, and a known primary.
 func (r *Router) isSettled(g *group, memberCount int) bool {
 	for _, m := range g.members {
 		if m.active && r.isWarming(m) {
@@ -65,7 +66,7 @@
 	return g.activeCount() == memberCount && g.primary() != nil
 }
 
-// activeCount is how many members of the group take new work.
+// activeCount returns the number of members of the group that take new work.
 func (g *group) activeCount() (n int) {
 	for _, m := range g.members {
 		if m.active {
@@ -75,36 +76,36 @@
 	return n
 }
 
-// historySpan is how far a loadHistory looks back.
+// historySpan returns the time constant of a loadHistory.
 func (r *Router) historySpan() time.Duration { return max(r.cfg.SlowStart.Duration, minHistory) }
 
-// advanceHistory brings the history of a group to the present. Before a member changes it has to be
-// called, so that the time so far is counted with those that were there.
+// advanceHistory brings the history of a group up to the present. It has to be called before a member
+// changes, so that the time until then is counted for the members of that time.
 func (r *Router) advanceHistory(g *group) *loadHistory {
 	h := &g.history
-	if r.now == h.updatedAt { // a list that is half applied tells nothing of the group
+	if r.now == h.updatedAt { // while an endpoint list is only half applied, the group's state means nothing
 		return h
 	}
 	if h.updatedAt == 0 {
 		h.updatedAt = r.now
 	}
-	if n := r.usualMembers(g); n >= h.memberCount || r.now-h.memberCountAt > r.historySpan() {
+	if n := r.usualMemberCount(g); n >= h.memberCount || r.now-h.memberCountAt > r.historySpan() {
 		h.memberCount, h.memberCountAt = n, r.now
 	}
 	span := r.historySpan()
-	keep := math.Exp(-(r.now - h.updatedAt).Seconds() / span.Seconds())
-	passed := span.Seconds() * (1 - keep)
+	decay := math.Exp(-(r.now - h.updatedAt).Seconds() / span.Seconds())
+	effectiveSeconds := span.Seconds() * (1 - decay)
 	h.updatedAt = r.now
-	h.requests *= keep
-	h.seconds = h.seconds*keep + passed
+	h.requests *= decay
+	h.seconds = h.seconds*decay + effectiveSeconds
 	if r.isSettled(g, h.memberCount) {
-		h.primary.advance(keep, passed)
-		h.replicas.advance(keep, passed*float64(h.memberCount-1))
+		h.primary.advance(decay, effectiveSeconds)
+		h.replicas.advance(decay, effectiveSeconds*float64(h.memberCount-1))
 	}
 	return h
 }
 
-// recordBorne notes an answer that a member gave in time.
+// recordBorne counts a timely answer of a member, if its group is settled.
 func (r *Router) recordBorne(m *member) {
 	h := r.advanceHistory(m.group)
 	switch {
@@ -116,20 +117,22 @@
 	}
 }
 
-// bearableRate is how many requests a second, of those that come to this router, a member can surely
-// bear once it is warm: an even part of what its role is asked in the complete group, and no more than
-// members have borne. A router that has just started has not seen the latter.
-func (r *Router) bearableRate(m *member) float64 {
+// sustainableRate returns how many requests a second, of those that arrive at this router, a member can
+// surely bear once it is warm. This is an even share of the requests for its role in the complete group, but
+// no more than members were seen to serve. A router that has just started has not observed the latter, so it
+// counts in full only after learningSeconds of observation.
+func (r *Router) sustainableRate(m *member) float64 {
 	h := r.advanceHistory(m.group)
-	part := r.evenPart(m, max(h.replicaCount(), m.group.activeCount()-1))
-	borne := max(h.replicas.perSecond(), h.primary.perSecond())
-	seen := min(1, (h.replicas.seconds+h.primary.seconds)/learningSeconds)
-	return min(part, seen*borne+(1-seen)*part)
+	share := r.evenShare(m, max(h.replicaCount(), m.group.activeCount()-1))
+	observedRate := max(h.replicas.perSecond(), h.primary.perSecond())
+	confidence := min(1, (h.replicas.seconds+h.primary.seconds)/learningSeconds)
+	return min(share, confidence*observedRate+(1-confidence)*share)
 }
 
-// evenPart is what comes to this router for a member in its role: the reads are spread over so many
-// replicas, and the primary has the rest, and stands no less than a replica.
-func (r *Router) evenPart(m *member, replicas int) float64 {
+// evenShare returns the rate of this router's requests for a member in its role. The reads are spread evenly
+// over the given number of replicas. The primary gets the other requests, and is taken to bear at least as
+// much as a replica.
+func (r *Router) evenShare(m *member, replicas int) float64 {
 	fraction := (1 - r.writeFraction) / float64(max(1, replicas))
 	if m == m.group.primary() {
 		fraction = max(fraction, r.writeFraction)
--- a/routing/constants.go
+++ b/routing/constants.go
@@ -4,59 +4,59 @@
 
 // The tuned constants. docs/tuning.md gives the unit, the meaning and the reason of each.
 const (
-	tickInterval = 5 * time.Millisecond  // pace of queued requests
-	answerMargin = 15 * time.Millisecond // a final answer leaves this long before its time, at the latest
-	minLatency   = 50 * time.Millisecond // least latency to reckon with, and the one before any was seen
-
-	positionMargin  = time.Millisecond       // positions come in whole milliseconds
-	paceRetention   = 3 * time.Second        // for which a position predicts that its member keeps pace
-	maxListDelay    = 5 * time.Second        // an endpoint list names a new primary no later
-	memberRetention = time.Minute            // a removed member is forgotten after so long
+	tickInterval = 5 * time.Millisecond  // between two dispatches of queued requests
+	answerMargin = 15 * time.Millisecond // least time between a final answer and the deadline
+	minLatency   = 50 * time.Millisecond // least latency to expect, also before any answer
+
+	positionMargin  = time.Millisecond       // positions are given in whole milliseconds
+	paceRetention   = 3 * time.Second        // for so long, a position predicts that its member keeps pace
+	maxListDelay    = 5 * time.Second        // an endpoint list names a new primary at most this late
+	memberRetention = time.Minute            // a removed member is forgotten after this time
 	searchBackoff   = 500 * time.Millisecond // after a round of the search that found no primary
 	retryBackoff    = time.Second            // before a failed call to discovery is repeated
 
-	clockTolerance = 20 * time.Millisecond  // by which reports of one clock may differ
-	startTolerance = 250 * time.Millisecond // the same where start times are compared, and reports may be old
-	clockReports   = 3                      // of a primary, of which the middle one tells its clock
-	leadRetention  = 5 * time.Second        // for which a lead holds that no report confirms
+	clockTolerance = 20 * time.Millisecond  // reports of one clock may differ by this much
+	startTolerance = 250 * time.Millisecond // the same for start times, where reports may be old
+	clockReports   = 3                      // last reports of a primary, whose median gives its clock
+	leadRetention  = 5 * time.Second        // a clock lead that no report confirms holds for so long
 
-	commitRetention, maxCommits = 10 * time.Second, 20000 // then a commit is folded into its group's floor
+	commitRetention, maxCommits = 10 * time.Second, 20000 // beyond these a commit goes into its group's floor
 
 	faultScore, transientFaultScore = 3, 1.5                 // in latency objectives: failures; lone ones
-	outlierThreshold, scoreMargin   = 1, 0.1                 // of an outlier; least difference that counts
-	scoreRetention                  = 10                     // seconds after which a score counts no more
-	minSilence                      = 150 * time.Millisecond // a shorter silence shows nothing
+	outlierThreshold, scoreMargin   = 1, 0.1                 // least of an outlier; least difference
+	scoreRetention                  = 10                     // seconds after which a score no longer counts
+	minSilence                      = 150 * time.Millisecond // a shorter silence of a member proves nothing
 
-	probeAnswerWait = 25 * time.Millisecond  // a read waits so long for a probe: above a round trip
-	probeTimeout    = 300 * time.Millisecond // a probe unanswered for so long is no longer pending
-	reprobeAfter    = 60 * time.Millisecond  // before that a member's report is hardly newer
+	probeAnswerWait = 25 * time.Millisecond  // how long a read waits for a probe: above a round trip
+	probeTimeout    = 300 * time.Millisecond // after this an unanswered probe counts as lost
+	reprobeAfter    = 60 * time.Millisecond  // an earlier report would hardly be newer
 
-	maxProbesPerRead, probeCostFraction, probeBudgetCap = 2, 0.016, 10 // for a read; of the result; saved up
-	retryBudgetRatio, retryBudgetCap, minRetryCost      = 0.1, 50, 0.1 // earned; saved up by all; price
+	maxProbesPerRead, probeCostFraction, probeBudgetCap = 2, 0.016, 10 // per read; of the result; burst
+	retryBudgetRatio, retryBudgetCap, minRetryCost      = 0.1, 50, 0.1 // per request; burst of all; cost
 
-	initialLimit, limitIncrease, limitDecrease  = 3, 0.1, 0.5    // of a member's requests in flight
+	initialLimit, limitIncrease, limitDecrease  = 3, 0.1, 0.5    // of a member's in-flight limit
 	primaryReadFraction, initialWriteFraction   = 0.9, 0.25      // reads in its limit; writes among requests
-	shedDecrease, shedIncrease, maxShedFraction = 0.02, 0.3, 0.8 // of a group's requests
-	shedMinRouters                              = 5              // up to so many, limits are fine enough
+	shedDecrease, shedIncrease, maxShedFraction = 0.02, 0.3, 0.8 // fractions of a group's requests
+	shedMinRouters                              = 5              // with more routers, limits are too coarse
 	initialInTimeFraction                       = 0.3            // of a group's attempts
 	initialSamples, maxSamples                  = 10, 2048
-	tenantRateSpan                              = 8.0 // seconds over which a tenant's requests are counted
+	tenantRateSpan                              = 8.0 // seconds over which a tenant's rate is smoothed
 
-	slowStartSafety = 0.8 // part of the overload that a warming member stands which is used
-	writeCost       = 2.0 // requests that a write counts for in the budget of a warming primary
-	grantsPerWindow = 4   // a grant holds for this part of an overload window
-	learningSeconds = 3.0 // that warm members were seen, until what they bore is all that counts
-	keptWindows     = 4.0 // for which a budget that makes up no request is kept
+	slowStartSafety = 0.8 // used fraction of the overload that a warming member withstands
+	writeCost       = 2.0 // tokens that a write takes from the budget of a warming primary
+	grantsPerWindow = 4   // a grant is valid for an overload window divided by this
+	learningSeconds = 3.0 // observed time after which the rate that warm members served counts in full
+	keptWindows     = 4.0 // the longest burst window of a slow start budget, in overload windows
 	minUsedFraction = 0.01
 	minHistory      = 100 * time.Millisecond
 	askedSpan       = 3 * time.Second
 
-	minOverloadWindow = time.Second // where the settings give none
+	minOverloadWindow = time.Second // also where the settings give none
 
-	exploreFraction         = 0.15 // of the draws that are not among connected or known members alone
-	connectFailureThreshold = 0.1  // fraction of quick failures to connect that shows full hosts
-	maxIdleConns            = 150  // that all routers together then keep open at a host
+	exploreFraction         = 0.15 // of the draws that are not limited to connected or known members
+	connectFailureThreshold = 0.1  // fraction of quick connect failures above which hosts count as full
+	maxIdleConns            = 150  // idle connections that all routers together then keep open at a host
 
-	// The samples that smoothed figures look back.
+	// The number of samples over which each figure is smoothed.
 	latencySpan, inTimeSpan, scoreSpan, connectSpan, weightSpan, writeFractionSpan = 8, 8, 16, 16, 32, 64
 )
--- a/routing/execution.go
+++ b/routing/execution.go
@@ -1,17 +1,17 @@
 package routing
 
-// Execution is what the end of an attempt proves of whether the request ran at its host. It is a fact of the
-// past, and apart from the Code: that an answer is of no use to the client does not take back that it ran.
-// The zero value proves nothing.
+// Execution is what the end of an attempt proves about whether the request ran at its host. It is independent
+// of the Code: a request may have run although its answer is of no use to the client. The zero value proves
+// nothing.
 type Execution uint8
 
-// The proofs. A host starts a request with its last byte.
+// The proofs. A host starts to run a request when it has received the last byte.
 const (
 	MayHaveRun         Execution = iota // nothing is proven
-	Ran                                 // the host answered it, wholly or in part
-	NotBegun                            // no byte of it was written
-	NotWritten                          // its last byte was not written, and will not be
-	RejectedUnexecuted                  // the host rejected it, and sent nothing of an answer before
+	Ran                                 // the host answered it, completely or in part
+	NotBegun                            // no byte of the request was written
+	NotWritten                          // the last byte of the request was not written, and will not be
+	RejectedUnexecuted                  // the host rejected it before it sent any part of an answer
 )
 
 var executionNames = [...]string{"may_have_run", "ran", "not_begun", "not_written", "rejected_unexecuted"}
@@ -24,7 +24,7 @@
 	return "unknown"
 }
 
-// NeverRan reports whether it is proven that nothing ran.
+// NeverRan reports whether it is proven that no part of the request ran.
 func (x Execution) NeverRan() bool {
 	switch x {
 	case NotBegun, NotWritten, RejectedUnexecuted:
@@ -34,7 +34,7 @@
 }
 
 // PermitsRejection reports whether a rejection may be the final answer to a request of the class. A rejection
-// promises its client that a retry is harmless.
+// promises the client that a retry is harmless.
 func (k *Class) PermitsRejection(mayHaveRun bool) bool {
 	isRetryHarmless := k.Idempotency == Idempotent || k.Idempotency == Deduplicated && k.Scope == ScopeAll
 	return isRetryHarmless || !mayHaveRun
--- a/routing/groupclock.go
+++ b/routing/groupclock.go
@@ -5,78 +5,80 @@
 	"time"
 )
 
-// groupClock relates the clock by which a group's positions are given, that of its primary, to the router's.
-// The router's machine may have started with a wall clock that was behind: then the present, which a primary
-// reports, lies ahead of it, and data that is far too old would look fresh.
+// groupClock relates the clock on which a group's positions are given, that of its primary, to the router's.
+// The router's machine may have started with a wall clock that was behind. The present time that a primary
+// reports is then ahead of the router's, and data that is far too old would look fresh.
 //
-// Only the primary is believed, or who claims the role while there is none: a lying replica shifts nothing.
-// Of the last reports the middle one counts, so one that is garbled, or old, shifts nothing for long either.
-// A lead makes reads need later positions, never earlier ones: no read gains by a clock that is ahead.
-// A lag makes slow start more careful: a host that has just started is not taken for a warm one.
+// Only reports of the primary count or, while there is none, those of a member that claims the role, so a
+// replica with a wrong report changes nothing. The median of the last reports counts, so a single report that
+// is garbled or old changes nothing for long either. A lead makes reads need later positions, never earlier
+// ones: a clock that is ahead does not let a read get older data. A lag makes slow start more careful: a host
+// that has just started is not taken for a warm one.
 type groupClock struct {
-	member  *member         // whose reports these are
-	reports []time.Duration // how far they were ahead of the router's clock; negative: behind
-	lead    time.Duration   // of the group's clock, as reads reckon with it
-	proven  time.Duration   // as enough reports agree on it; what no clock shows is garbled
-	agreed  time.Duration   // when enough reports last agreed on proven, or on more
-	lag     time.Duration   // of the group's clock, as slow start reckons with it; 0 where there is a lead
+	source   *member         // the member that sent the reports
+	reports  []time.Duration // how far each was ahead of the router's clock; negative: behind
+	lead     time.Duration   // how far ahead reads take the group's clock to be
+	proven   time.Duration   // the lead on which enough reports agree; a position beyond it is garbled
+	provenAt time.Duration   // when enough reports last agreed on that lead, or on a greater one
+	lag      time.Duration   // how far behind slow start takes the group's clock to be; 0 if it leads
 }
 
-// present is the time now on the clock by which a group's positions are given.
+// present returns the time now on the clock on which a group's positions are given.
 func (r *Router) present(g *group) time.Duration { return r.now + g.clock.lead }
 
-// isFromTheFuture reports whether a position is one that no host of the group can have.
+// isFromTheFuture reports whether a position is ahead of the group's clock, so that no host can have it.
 func (r *Router) isFromTheFuture(g *group, position time.Duration) bool {
 	latest := r.now + g.clock.proven
 	if g.clock.proven > 0 {
-		latest += clockTolerance // the middle report came a little later than the fastest
+		latest += clockTolerance // the median report took a little longer to arrive than the fastest
 	}
 	return position > latest
 }
 
-// observeClock takes the present as a primary reports it.
+// observeClock records the present time as a primary reports it.
 func (r *Router) observeClock(m *member, position time.Duration) {
 	c := &m.group.clock
 	if primary := m.group.primary(); primary != nil && primary != m {
 		return
 	}
-	if c.member != m {
-		c.member, c.reports = m, c.reports[:0]
+	if c.source != m {
+		c.source, c.reports = m, c.reports[:0]
 	}
 	if c.reports = append(c.reports, position-r.now); len(c.reports) > clockReports {
 		c.reports = slices.Delete(c.reports, 0, 1)
 	}
 	sorted := slices.Sorted(slices.Values(c.reports))
-	newest := sorted[len(sorted)-1]
-	if len(sorted) < clockReports { // until there are enough, what makes more careful
-		c.lead = max(c.lead, beyond(newest, clockTolerance))
+	greatest := sorted[len(sorted)-1]
+	if len(sorted) < clockReports { // until there are enough, they can only raise the lead
+		c.lead = max(c.lead, zeroWithin(greatest, clockTolerance))
 		return
 	}
-	c.settle(r.now, beyond(sorted[len(sorted)/2], clockTolerance))
-	c.lag = beyond(-newest, startTolerance) // a report may be old, none is from the future
+	c.updateLead(r.now, zeroWithin(sorted[len(sorted)/2], clockTolerance))
+	c.lag = zeroWithin(-greatest, startTolerance) // reports may be late, never early
 }
 
-// settle takes a lead on which enough reports agree. Reports may be late, and then show too little; none is
-// early. So a lesser lead counts once nothing has confirmed the greater one for a while.
-func (c *groupClock) settle(now, lead time.Duration) {
+// updateLead takes a lead on which enough reports agree. Reports may be late, and then show too small a lead,
+// but are never early. So a smaller lead counts only when the greater one was not confirmed for a while.
+func (c *groupClock) updateLead(now, lead time.Duration) {
 	switch {
 	case lead >= c.proven-clockTolerance:
-		c.proven, c.agreed = max(c.proven, lead), now
-	case now-c.agreed > leadRetention:
-		c.proven, c.agreed = lead, now
+		c.proven, c.provenAt = max(c.proven, lead), now
+	case now-c.provenAt > leadRetention:
+		c.proven, c.provenAt = lead, now
 	}
 	c.lead = c.proven
 }
 
-// beyond returns d where it is more than a tolerance, else 0.
-func beyond(d, tolerance time.Duration) time.Duration {
+// zeroWithin returns d if it is greater than a tolerance, else 0.
+func zeroWithin(d, tolerance time.Duration) time.Duration {
 	if d <= tolerance {
 		return 0
 	}
 	return d
 }
 
-// age is for how long a member has run, by its group's clock, and at least since its start was told.
-func (r *Router) age(m *member) time.Duration {
+// uptime returns for how long a member has run: by its group's clock, but no less than the time since this
+// router was told of its start.
+func (r *Router) uptime(m *member) time.Duration {
 	return max(r.now-m.group.clock.lag-m.startedAt, r.now-m.startToldAt)
 }
--- a/routing/probes.go
+++ b/routing/probes.go
@@ -1,24 +1,28 @@
 package routing
 
-// The ranks of members, by how likely a probe proves that one qualifies: confirmed lately and near; unknown;
-// far behind before this start; too far behind to have caught up since.
-const onPace, unknownPace, wasLagging, unreachable = 0, 1, 2, 3
+// The ranks of members for a probe, the most likely to qualify first.
+//   - rankKeepsPace: its position was confirmed lately, and qualifies if the member has kept pace since.
+//   - rankUnknown: nothing recent is known of its position.
+//   - rankLaggedBefore: it was far behind before this router's start, and nothing is known since.
+//   - rankTooFarBehind: it is too far behind to have caught up since its position was confirmed.
+const rankKeepsPace, rankUnknown, rankLaggedBefore, rankTooFarBehind = 0, 1, 2, 3
 
-// paceOf ranks a member for a read. One that catches up is taken to apply the log at twice its pace.
+// paceOf ranks a member for a read. A member that catches up is taken to apply the log at twice real time.
 func (r *Router) paceOf(m *member, req *request) int {
-	since, need := r.now-m.positionAt, r.requiredPosition(req)
+	elapsed, required := r.now-m.positionAt, r.requiredPosition(req)
 	switch {
 	case m.position == 0 && m.restoredLag > r.tightestBound:
-		return wasLagging
-	case m.position > 0 && m.position+2*since < need:
-		return unreachable
-	case m.position > 0 && since < paceRetention && m.position+since >= need:
-		return onPace
+		return rankLaggedBefore
+	case m.position > 0 && m.position+2*elapsed < required:
+		return rankTooFarBehind
+	case m.position > 0 && elapsed < paceRetention && m.position+elapsed >= required:
+		return rankKeepsPace
 	}
-	return unknownPace
+	return rankUnknown
 }
 
-// awaitProbe lets a read for which no replica is known to qualify wait for the probe of one that may.
+// awaitProbe lets a read for which no replica is known to qualify wait for the probe of one that may. It
+// reports whether the read waits.
 func (r *Router) awaitProbe(req *request, members []*member) bool {
 	if req.probed != nil && req.probed.probePending && r.now < req.probedAt+probeAnswerWait {
 		return true
@@ -27,20 +31,21 @@
 		req.probeCount >= maxProbesPerRead {
 		return false
 	}
-	var ranks [unreachable + 1][]*member
+	var ranks [rankTooFarBehind + 1][]*member
 	for _, m := range members {
 		if m != req.probed && (m.probePending || r.now-m.probedAt >= reprobeAfter) {
-			k := r.paceOf(m, req)
-			ranks[k] = append(ranks[k], m)
+			rank := r.paceOf(m, req)
+			ranks[rank] = append(ranks[rank], m)
 		}
 	}
-	likely := ranks[onPace]
-	if r.rng.Float64() < exploreFraction { // else those that are known would keep the others unknown
-		likely = append(likely, ranks[unknownPace]...)
+	likely := ranks[rankKeepsPace]
+	if r.rng.Float64() < exploreFraction { // else members of unknown position would never be probed
+		likely = append(likely, ranks[rankUnknown]...)
 	}
-	primary := req.group.primary() // with none to fall back on, a read that waits costs more than a probe
-	for k := unknownPace; len(likely) == 0 && k <= unreachable && (k < unreachable || primary == nil); k++ {
-		likely = ranks[k]
+	primary := req.group.primary() // without one, a read that waits costs more than a probe
+	for rank := rankUnknown; len(likely) == 0 && rank <= rankTooFarBehind &&
+		(rank < rankTooFarBehind || primary == nil); rank++ {
+		likely = ranks[rank]
 	}
 	m := r.pickOfTwo(likely)
 	if m == nil || !m.probePending && r.probeBudget < 1 && primary != nil && r.isHealthy(primary) {
@@ -59,12 +64,12 @@
 	}
 }
 
-// handleProbeResult takes the end of a probe; reads of the group may wait for it.
+// handleProbeResult records the end of a probe and dispatches queued reads, which may wait for it.
 func (r *Router) handleProbeResult(m *member, e *ProbeEnded) {
 	m.probePending = false
 	if e.Code == OK {
 		r.recordReport(m, e.Report)
-	} else if e.Code != NotSent { // which says nothing of the host
+	} else if e.Code != NotSent { // a probe that was not sent shows nothing about the host
 		r.recordScore(m, faultScore)
 	}
 	for _, req := range r.queue {
--- a/routing/queue.go
+++ b/routing/queue.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// tick dispatches what is queued, and asks discovery again where that is due.
+// tick dispatches the queued requests, and asks discovery again when that is due.
 func (r *Router) tick() {
 	r.tickAt = r.now + max(tickInterval, r.cfg.MinTickInterval)
 	r.queue = slices.DeleteFunc(r.queue, func(req *request) bool {
 		req.queued = !req.finished && req.inFlight == 0
 		return !req.queued
 	})
-	// By value, then newest first: under overload the old ones are the least likely to be in time.
+	// Highest value first, then newest first: under overload the oldest are the least likely to be in time.
 	slices.SortStableFunc(r.queue, func(a, b *request) int {
 		byValue := cmp.Compare(r.valuePerSecond(b), r.valuePerSecond(a))
 		return cmp.Or(byValue, cmp.Compare(b.arrivedAt, a.arrivedAt))
 	})
 	for _, req := range r.queue {
-		switch at := r.rng.Float64() * float64(req.deadline-req.arrivedAt); {
-		case at < float64(r.tickAt-r.now) && !req.isRetry: // one more sample in its time
+		switch redrawOffset := r.rng.Float64() * float64(req.deadline-req.arrivedAt); {
+		case redrawOffset < float64(r.tickAt-r.now) && !req.isRetry: // on average once before its deadline
 			req.redraw(r.rng.Float64())
-		case r.now >= req.probedAt+probeAnswerWait: // one that can't be used now is lost: nothing is saved up
+		case r.now >= req.probedAt+probeAnswerWait: // chances to be granted are not saved up
 			req.useUpSample()
 		}
 		r.dispatch(req)
@@ -33,7 +33,8 @@
 	}
 }
 
-// valuePerSecond is what a second of work on a request brings; the worst-served class counts once more.
+// valuePerSecond returns the value of a request per second of work on it. The worst-served class counts
+// more, by WorstClassWeight.
 func (r *Router) valuePerSecond(req *request) float64 {
 	weight := req.weight
 	if req.class == r.worstClass && !req.isRetry {
@@ -45,7 +46,7 @@
 	return weight / max(req.class.serviceTime, time.Millisecond).Seconds()
 }
 
-// armTimer asks to be woken for what is due next; with nothing to do there is no timer.
+// armTimer sets a timer for what is due next, if anything is.
 func (r *Router) armTimer() {
 	wake := r.resubscribeAt
 	if len(r.queue) > 0 {
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -8,87 +8,93 @@
 	"ashstand/internal/faulthook"
 )
 
-// slowStartBudget is what a warming member may still be sent by this router. It is earned over time, at
-// the rate that the member surely bears, and what is not used within an overload window is lost:
-// nothing is saved up. The budgets of all routers add up to what the member bears, whatever is asked
-// and whoever leaves the group.
+// slowStartBudget is a token bucket that limits the requests which this router sends to one warming member.
+// It refills at the rate that the member can surely bear. The burst capacity is what it earns within about
+// one overload window, so tokens that are not used by then are lost. The budgets of all routers add up to
+// what the member bears, however many requests arrive and whichever members leave the group.
 type slowStartBudget struct {
-	requests float64
-	earnedAt time.Duration
-	asked    float64         // how often it was drawn on lately, smoothed over askedSpan
-	heldBack SlowStartCounts // requests that were not granted
+	tokens      float64
+	earnedAt    time.Duration
+	recentDraws float64         // number of recent draws, decaying over askedSpan
+	heldBack    SlowStartCounts // requests that got no grant
 }
 
-// slowStartGrant is a request's answer from the budget of a member. It is drawn once for each sample of
-// the request.
+// slowStartGrant records whether the budget of a member granted a request. A request draws on a member's
+// budget once for each of its samples.
 type slowStartGrant struct {
 	member    *member
-	startedAt time.Duration // of the member's process
+	startedAt time.Duration // start of the member's process
 	granted   bool
-	cost      float64 // what a request that is sent takes of the budget
+	cost      float64 // in tokens
 }
 
-// isWarming reports whether a member's capacity is not complete yet.
+// isWarming reports whether a member is in slow start: its capacity is not complete yet.
 func (r *Router) isWarming(m *member) bool {
-	return m.startedAt != 0 && r.age(m) < r.cfg.SlowStart.Duration
+	return m.startedAt != 0 && r.uptime(m) < r.cfg.SlowStart.Duration
 }
 
-// slowStartRatio is how many times what a warm member bears one may get: while it warms up, some of the
-// overload that it stands at the capacity which it surely had one overload window ago.
+// slowStartRatio returns the load that a member may get, as a multiple of what it bears when it is warm. A
+// warming member may get the fraction slowStartSafety of the overload that it withstands, reckoned from the
+// capacity that it surely had one overload window ago. A warm member has no limit.
 func (r *Router) slowStartRatio(m *member) float64 {
 	if !r.isWarming(m) {
 		return math.Inf(1)
 	}
 	s := &r.cfg.SlowStart
-	capacity := s.Floor + (1-s.Floor)*float64(max(0, r.age(m)-s.OverloadWindow))/float64(s.Duration)
+	capacity := s.Floor + (1-s.Floor)*float64(max(0, r.uptime(m)-s.OverloadWindow))/float64(s.Duration)
 	return slowStartSafety * max(1, s.OverloadFactor) * capacity
 }
 
-// overloadWindow is the time within which a host must not be sent too much.
+// overloadWindow returns the period over which the load of a host counts: a host fails if it is sent more
+// than a multiple of its capacity within it.
 func (r *Router) overloadWindow() time.Duration {
 	return max(r.cfg.SlowStart.OverloadWindow, minOverloadWindow)
 }
 
-// slowStartRate is how many requests a second this router may send to a warming member, and for how
-// long what it earns is kept: for an overload window, or until it makes up one request, but not for
-// more than a few windows. Where requests come seldom, a part of the budget is lost between two of
-// them, so it is earned faster by as much; where they come close together that adds nothing, and a
-// surge gets no more than what came before it.
-func (r *Router) slowStartRate(m *member) (perSecond float64, kept time.Duration) {
-	bears := r.slowStartRatio(m) * r.bearableRate(m)
+// slowStartRate returns the refill rate of a warming member's budget, in requests a second of this router,
+// and its burst window: the budget holds at most what it earns in that time. The burst window is one
+// overload window, or the time to earn one token if that is longer, but at most keptWindows overload windows.
+//
+// With few requests the budget is often full between two of them, and what it would earn then is lost. The
+// refill rate is raised to make up for that: it is divided by the fraction of the tokens that is expected
+// to be used. With many requests this fraction is close to 1, so the correction adds nothing, and a surge
+// of requests gets no more than the requests before it.
+func (r *Router) slowStartRate(m *member) (perSecond float64, burstWindow time.Duration) {
+	allowedRate := r.slowStartRatio(m) * r.sustainableRate(m)
 	window := r.overloadWindow().Seconds()
-	keptSeconds := min(max(window, 1/max(bears, minUsedFraction)), keptWindows*window)
+	burstSeconds := min(max(window, 1/max(allowedRate, minUsedFraction)), keptWindows*window)
 	fraction := 1 - r.writeFraction
 	if m == m.group.primary() {
 		fraction = r.writeFraction
 	}
-	asks := max(m.group.history.requestsPerSecond()*fraction, m.budget.asked/askedSpan.Seconds())
-	expected := asks * keptSeconds
-	used := max(1-math.Exp(-expected), minUsedFraction)
-	return bears / used, time.Duration(keptSeconds * float64(time.Second))
+	demandRate := max(m.group.history.requestsPerSecond()*fraction, m.budget.recentDraws/askedSpan.Seconds())
+	expectedRequests := demandRate * burstSeconds
+	usedFraction := max(1-math.Exp(-expectedRequests), minUsedFraction)
+	return allowedRate / usedFraction, time.Duration(burstSeconds * float64(time.Second))
 }
 
-// earn adds to a budget what the member bore since it was drawn on last.
-func (r *Router) earn(m *member) {
-	passed := r.now - m.budget.earnedAt
-	m.budget.asked = m.budget.asked*math.Exp(-passed.Seconds()/askedSpan.Seconds()) + 1
-	perSecond, kept := r.slowStartRate(m)
-	earned := perSecond * passed.Seconds()
-	m.budget.requests = min(m.budget.requests+earned, perSecond*kept.Seconds())
+// refill adds to a member's budget what it earned since the last draw, up to the burst capacity, and counts
+// a new draw.
+func (r *Router) refill(m *member) {
+	elapsed := r.now - m.budget.earnedAt
+	m.budget.recentDraws = m.budget.recentDraws*math.Exp(-elapsed.Seconds()/askedSpan.Seconds()) + 1
+	perSecond, burstWindow := r.slowStartRate(m)
+	refilled := perSecond * elapsed.Seconds()
+	m.budget.tokens = min(m.budget.tokens+refilled, perSecond*burstWindow.Seconds())
 	m.budget.earnedAt = r.now
 }
 
-// passesSlowStart reports whether a request may go to a member now. A warming member gets what its
-// budget has; whoever asks, for a read, a write or the search for the primary, draws on the same one.
+// passesSlowStart reports whether a request may go to a member now. A warm member always passes, a warming
+// one if its budget grants the request. Reads, writes and the search for the primary share that budget.
 func (r *Router) passesSlowStart(m *member, req *request) bool {
 	if !r.isWarming(m) || faulthook.Active(faulthook.IgnoreSlowStart) {
 		return true
 	}
-	known := slices.IndexFunc(req.grants, func(g slowStartGrant) bool {
+	grantIndex := slices.IndexFunc(req.grants, func(g slowStartGrant) bool {
 		return g.member == m && g.startedAt == m.startedAt
 	})
-	if known >= 0 {
-		return req.grants[known].granted
+	if grantIndex >= 0 {
+		return req.grants[grantIndex].granted
 	}
 	grant := slowStartGrant{member: m, startedAt: m.startedAt, cost: m.slowStartCost(req.class)}
 	if req.sample < 1 || r.slowStartRatio(m) >= 1 {
@@ -98,8 +104,8 @@
 	return grant.granted
 }
 
-// slowStartCost is what a request takes of a member's budget: a write, or a strong read, at the primary
-// counts more.
+// slowStartCost returns how many tokens a request takes from a member's budget. A write or a strong read at
+// the primary takes more than one.
 func (m *member) slowStartCost(k *class) float64 {
 	if k.needsPrimary() && m == m.group.primary() {
 		return writeCost
@@ -107,15 +113,16 @@
 	return 1
 }
 
-// refund gives a member back what was granted and not sent.
+// refund returns the tokens of a request that was granted but not sent to a member's budget, up to the
+// burst capacity.
 func (r *Router) refund(m *member, cost float64) {
 	if r.isWarming(m) {
-		perSecond, kept := r.slowStartRate(m)
-		m.budget.requests = min(m.budget.requests+cost, perSecond*kept.Seconds())
+		perSecond, burstWindow := r.slowStartRate(m)
+		m.budget.tokens = min(m.budget.tokens+cost, perSecond*burstWindow.Seconds())
 	}
 }
 
-// settleGrants gives back what a request was granted by members that it is not sent to.
+// settleGrants refunds the grants of a request by members other than the one that it is sent to.
 func (r *Router) settleGrants(req *request, sentTo *member) {
 	for i := range req.grants {
 		if g := &req.grants[i]; g.granted && g.member != sentTo {
@@ -125,61 +132,64 @@
 	}
 }
 
-// drawGrant takes from a member's budget the chance that a request gets a grant. The far digits of the
-// request's sample name one replica of the group, so that of several that warm up mostly one is
-// granted. Reads at the primary leave the writes their part.
+// drawGrant decides by a request's sample whether a member's budget grants the request. In either case it
+// takes the expected cost from the budget: the chance of a grant times the cost. The low-order digits of the
+// sample select one replica of the group, so that of several warming replicas mostly one grants the request.
+// Reads at the primary leave the writes their share.
 func (r *Router) drawGrant(m *member, req *request, cost float64) bool {
-	r.earn(m)
+	r.refill(m)
 	sample := req.sample
-	if sample >= 1 { // used up; one that draws again must not do so with what has failed
+	if sample >= 1 { // used up: a further draw needs a new sample, not the one that has failed
 		sample = r.rng.Float64()
 	}
-	chance, place := min(1, m.budget.requests/cost), sample
+	chance, draw := min(1, m.budget.tokens/cost), sample
 	switch isPrimary := m == m.group.primary(); {
 	case !isPrimary:
-		place = m.placeAmongReplicas(sample)
+		draw = m.sampleForReplica(sample)
 	case !req.class.needsPrimary():
-		part := 1 / float64(m.group.history.replicaCount())
-		chance = min(chance, max(0, r.slowStartRatio(m)*(part-r.writeFraction)))
+		share := 1 / float64(m.group.history.replicaCount())
+		chance = min(chance, max(0, r.slowStartRatio(m)*(share-r.writeFraction)))
 	}
-	m.budget.requests -= chance * cost
-	if place >= chance {
+	m.budget.tokens -= chance * cost
+	if draw >= chance {
 		m.budget.heldBack[m.slowStartPath(req.class)]++
 		return false
 	}
 	return true
 }
 
-// placeAmongReplicas is a sample as one replica of its group sees it: even from 0 to 1 for each, and each at
-// another part of it.
-func (m *member) placeAmongReplicas(sample float64) float64 {
+// sampleForReplica maps a request's sample to the one that counts for this replica. For each replica the
+// result is uniform between 0 and 1. For the same sample, each replica of the group gets a result in a
+// different part of that range.
+func (m *member) sampleForReplica(sample float64) float64 {
 	primary := m.group.primary()
 	count, index := 0, 0
-	for _, o := range m.group.members {
-		if o == m {
+	for _, other := range m.group.members {
+		if other == m {
 			index = count
 		}
-		if o.active && o != primary { // removed members are retained for a while
+		if other.active && other != primary { // removed members stay in the group for a while
 			count++
 		}
 	}
 	count = max(1, count)
-	named := int(sample * math.MaxInt32)
-	return (float64((named+index)%count) + sample) / float64(count)
+	offset := int(sample * math.MaxInt32)
+	return (float64((offset+index)%count) + sample) / float64(count)
 }
 
-// redraw gives a request another sample; what was granted to the one before is void.
+// redraw gives a request a new sample and discards the grants of the previous one without a refund.
 func (req *request) redraw(sample float64) {
 	req.sample = sample
 	req.grants = req.grants[:0]
 }
 
-// useUpSample leaves a request nothing to draw with until it gets another sample.
+// useUpSample marks a request's sample as used. Until the request gets a new one, no member whose slow
+// start ratio is below 1 grants it.
 func (req *request) useUpSample() { req.redraw(1 + math.Mod(req.sample, 1)) }
 
-// mayStillBeWritten reports whether an attempt that was chosen a while ago keeps to slow start. What
-// was chosen before the member started, or too long ago, draws anew: connections that come up slowly
-// must not bring a fleet's requests all at one time.
+// mayStillBeWritten reports whether slow start permits an attempt that was chosen a while ago. If the member
+// has started again since, or the grant is too old, the request draws again with a new sample: otherwise
+// connections that take long to open could deliver the requests of all routers at the same time.
 func (r *Router) mayStillBeWritten(a *attempt, req *request) bool {
 	m := a.member
 	isRecent := r.now-a.grantedAt <= r.overloadWindow()/grantsPerWindow
--- a/routing/slowstart_status.go
+++ b/routing/slowstart_status.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// SlowStartPath is the way by which work comes to a warming host.
+// SlowStartPath classifies the work that reaches a warming host.
 type SlowStartPath uint8
 
-// The paths.
+// The paths by which work reaches a warming host.
 const (
 	PathReplicaRead SlowStartPath = iota
-	PathPrimaryRead               // a read at the primary, strong ones included
+	PathPrimaryRead               // a read at the primary, strong reads included
 	PathWrite                     // a write at the primary
-	PathSearch                    // a write at a host that may be the primary
+	PathSearch                    // a write at a host that is not known to be the primary
 	PathProbe
 	PathHandshake
 	slowStartPathCount
@@ -40,23 +40,23 @@
 	return all
 }
 
-// SlowStartCounts counts what came by each path.
+// SlowStartCounts holds one count for each path.
 type SlowStartCounts [slowStartPathCount]int
 
-// SlowStartStatus is what a router knows of a host that warms up.
+// SlowStartStatus describes a warming host as one router sees it.
 type SlowStartStatus struct {
 	Host          string
 	Group         uint64
-	StartedAt     time.Duration // as the endpoint list has it
-	NotifiedAt    time.Duration // when that came
+	StartedAt     time.Duration // start of its process, as the endpoint list states it
+	NotifiedAt    time.Duration // when the router was told of that start
 	IsPrimary     bool
-	Members       int             // of its group, that are active
-	Ratio         float64         // how many times what a warm member bears it may get
-	RatePerSecond float64         // that this router may send it
-	HeldBack      SlowStartCounts // requests that its budget did not grant, since its start
+	Members       int             // number of active members of its group
+	Ratio         float64         // load it may get, as a multiple of what it bears when it is warm
+	RatePerSecond float64         // requests that this router may send it
+	HeldBack      SlowStartCounts // requests that its budget has not granted since its start
 }
 
-// SlowStart returns the status of a host; ok is false for one that does not warm up.
+// SlowStart returns the status of a warming host; ok is false for a host that is warm or not known.
 func (r *Router) SlowStart(now time.Duration, host string) (status SlowStartStatus, ok bool) {
 	r.now = max(now, r.now)
 	m := r.members[host]
@@ -66,7 +66,7 @@
 	return r.slowStartStatus(m), true
 }
 
-// WarmingHosts returns the status of all active hosts that warm up, by name.
+// WarmingHosts returns the status of all active warming hosts, sorted by name.
 func (r *Router) WarmingHosts(now time.Duration) (all []SlowStartStatus) {
 	r.now = max(now, r.now)
 	for _, m := range r.members {
@@ -87,7 +87,7 @@
 	}
 }
 
-// slowStartPath is the way by which a request comes to a member now.
+// slowStartPath returns the path by which a request of a class would reach a member now.
 func (m *member) slowStartPath(k *class) SlowStartPath {
 	switch isPrimary := m == m.group.primary(); {
 	case k.Access == Write && isPrimary:
@@ -100,8 +100,8 @@
 	return PathReplicaRead
 }
 
-// SlowStartPathOf returns the way by which a request of a class comes to a host now, and what it takes of the
-// host's budget, in requests.
+// SlowStartPathOf returns the path by which a request of a class would reach a host now, and how many tokens
+// it takes from the host's slow start budget. A token stands for one request.
 func (r *Router) SlowStartPathOf(host string, class int) (path SlowStartPath, cost float64) {
 	m := r.members[host]
 	if m == nil || class < 0 || class >= len(r.classes) {
