--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A cold member gets far less than a warm one, however many requests come.
+// A warming member gets far fewer requests than a warm one, however many arrive.
 func TestSlowStart(t *testing.T) {
 	hosts := shard()
 	hosts[1].StartedAt = startTime - 100*ms
@@ -13,8 +13,8 @@
 	count := map[string]int{}
 	for range 300 {
 		g.now += 10 * ms
-		id, as := g.request(eventualRead, RequestArrived{})
-		_, host := actionsOf(ActSend, as)
+		id, actions := g.request(eventualRead, RequestArrived{})
+		_, host := actionsOf(ActSend, actions)
 		count[host]++
 		g.outcome(id, 0, OK, Replica)
 	}
@@ -23,7 +23,7 @@
 	}
 }
 
-// Slow answers lower a member's in-flight limit, so that queues stay with the router.
+// Slow answers lower a member's in-flight limit, so that requests queue at the router.
 func TestLimitFallsWithSlowAnswers(t *testing.T) {
 	g := startHarness(t, settings(), shard()...)
 	m := g.c.members["p"]
@@ -37,8 +37,8 @@
 	}
 }
 
-// Clients that leave early find the queues too long: what they leave behind closes the member's limit.
-func TestClientsThatDisconnectCloseTheLimit(t *testing.T) {
+// A client that disconnects early has waited too long, so its pending attempt lowers the member's in-flight limit.
+func TestDisconnectingClientsLowerTheLimit(t *testing.T) {
 	g := startHarness(t, settings(), shard()[:1]...)
 	m := g.c.members["p"]
 	for range 20 {
@@ -53,7 +53,7 @@
 	many := settings()
 	many.RouterCount = 300
 	g = startHarness(t, many, shard()...)
-	for range 20 { // before many routers the group is shed as well
+	for range 20 { // with many routers the group is shed as well
 		id, _ := g.request(atMostOnceWrite, RequestArrived{})
 		g.now += 200 * ms
 		g.step(ClientGone{ID: id})
@@ -65,10 +65,10 @@
 	}
 }
 
-// A group whose answers come late is shed, the cheap classes more than the dear, and only where many routers share
-// it; lost attempts beside quick answers (a host that hangs) are no reason.
+// A group whose answers are late is shed, but only if many routers share it. Lost attempts along with quick answers, as
+// when one host hangs, don't cause shedding.
 func TestShedding(t *testing.T) {
-	for _, k := range []struct {
+	for _, tc := range []struct {
 		name        string
 		routers     int
 		code        Code
@@ -81,17 +81,17 @@
 		{"no answers", 400, NoAnswer, 600 * ms, 0.5, maxShedFraction},
 	} {
 		s := settings()
-		s.RouterCount = k.routers
+		s.RouterCount = tc.routers
 		g := startHarness(t, s, shard()[:1]...)
 		for range 20 {
 			id, _ := g.request(atMostOnceWrite, RequestArrived{})
-			g.now += k.elapsed
-			g.step(AttemptEnded{ID: id, Code: k.code, Role: Primary, Final: k.code == OK, Elapsed: k.elapsed})
+			g.now += tc.elapsed
+			g.step(AttemptEnded{ID: id, Code: tc.code, Role: Primary, Final: tc.code == OK, Elapsed: tc.elapsed})
 			g.step(ClientGone{ID: id})
 			g.now += time.Second
 		}
-		if shed := g.c.groups[1].admissions[1].shedFraction; shed < k.least || shed > k.most {
-			t.Errorf("%s: %.2f of the requests are shed, want %.2f to %.2f", k.name, shed, k.least, k.most)
+		if shed := g.c.groups[1].admissions[1].shedFraction; shed < tc.least || shed > tc.most {
+			t.Errorf("%s: %.2f of the requests are shed, want %.2f to %.2f", tc.name, shed, tc.least, tc.most)
 		}
 	}
 	s := settings()
@@ -112,71 +112,71 @@
 	}
 }
 
-// Repeats that clients mark go first when anything is shed.
+// Retries that are marked by clients are shed before first attempts.
 func TestRetriesAreShedFirst(t *testing.T) {
 	s := settings()
 	s.RouterCount = 400
 	g := startHarness(t, s, shard()...)
 	g.reportPositions(Replica, 0, "a", "b", "c")
-	refused := func(again bool) bool {
-		id, as := g.request(eventualRead, RequestArrived{TimeRemaining: 1300 * ms, IsRetry: again})
+	isRejected := func(isRetry bool) bool {
+		id, actions := g.request(eventualRead, RequestArrived{TimeRemaining: 1300 * ms, IsRetry: isRetry})
 		if r := g.c.requests[id]; r != nil && r.inFlight > 0 {
 			g.step(AttemptEnded{ID: id, Code: OK, Role: Replica, Final: true, Elapsed: 50 * ms})
 		}
-		found, _ := actionsOf(ActReject, as)
+		found, _ := actionsOf(ActReject, actions)
 		return len(found) > 0
 	}
 	for range 20 {
-		if refused(false) {
-			t.Fatal("a first try was refused")
+		if isRejected(false) {
+			t.Fatal("a first attempt was rejected")
 		}
 	}
-	if refused(true) {
-		t.Error("a repeat was refused though nothing is shed")
+	if isRejected(true) {
+		t.Error("a retry was rejected though nothing is shed")
 	}
-	s.Classes[eventualRead].LateFraction = 0 // the rig shares the classes' settings, not their values: take a new one
+	s.Classes[eventualRead].LateFraction = 0 // a router copies the classes' settings, so this needs a new one
 	g = startHarness(t, s, shard()...)
 	for range 20 {
-		refused(false)
+		isRejected(false)
 	}
 	g.c.groups[1].admissions[0].shedFraction = 0.1
-	repeats, firsts := 0, 0
+	rejectedRetries, rejectedFirstAttempts := 0, 0
 	for range 30 {
 		g.c.groups[1].admissions[0].shedFraction = 0.1
-		if refused(true) {
-			repeats++
+		if isRejected(true) {
+			rejectedRetries++
 		}
 		for range 3 {
-			if refused(false) {
-				firsts++
+			if isRejected(false) {
+				rejectedFirstAttempts++
 			}
 		}
 	}
-	if repeats < 28 || firsts > 25 {
-		t.Errorf("of 30 repeats %d were refused, of 90 first tries %d", repeats, firsts)
+	if rejectedRetries < 28 || rejectedFirstAttempts > 25 {
+		t.Errorf("of 30 retries %d were rejected, of 90 first attempts %d", rejectedRetries, rejectedFirstAttempts)
 	}
 }
 
-// Requests beyond their tenant's share are shed before those inside.
+// Requests of a tenant that exceeds its quota are shed before those of a tenant within its quota.
 func TestTenantQuotas(t *testing.T) {
 	s := settings()
 	s.RouterCount, s.OverQuotaFraction = 100, 0.1
 	s.Tenants = []Tenant{{Name: "small", Quota: 50}, {Name: "large", Quota: 1000}}
 	g := startHarness(t, s, shard()...)
-	refused := [3]int{}
+	rejected := [3]int{}
 	for range 400 {
 		for tenant := 1; tenant <= 2; tenant++ { // 200 a second each, if all routers see as much
 			g.now += 250 * ms
 			g.c.groups[1].admissions[0].shedFraction, g.c.groups[1].admissions[0].inTimeFraction = 0.3, 1
-			id, as := g.request(eventualRead, RequestArrived{Tenant: tenant})
-			if found, _ := actionsOf(ActReject, as); len(found) > 0 {
-				refused[tenant]++
+			id, actions := g.request(eventualRead, RequestArrived{Tenant: tenant})
+			if found, _ := actionsOf(ActReject, actions); len(found) > 0 {
+				rejected[tenant]++
 			} else {
 				g.outcome(id, 0, OK, Replica)
 			}
 		}
 	}
-	if refused[1] < 2*refused[2] || refused[2] == 0 {
-		t.Errorf("refused: %d of the tenant over its share, %d of the one inside", refused[1], refused[2])
+	if rejected[1] < 2*rejected[2] || rejected[2] == 0 {
+		t.Errorf("rejected: %d of the tenant over its quota, %d of the one within", rejected[1], rejected[2])
 	}
 }
--- a/routing/bounds_test.go
+++ b/routing/bounds_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What each of 300 poolers does is harmless; what all do at once has to be, too. 120 hosts, a start of all poolers, six
-// in ten hosts replaced, a third of the groups lost and back cold, lists that come to each pooler at another time.
+// What one pooler does may be harmless while what 300 do at the same time is not. The test plays 120 hosts, a start of all
+// poolers, the replacement of six in ten hosts, and the loss of a third of the groups, whose hosts come back as warming ones.
 func TestFleetStaysWithinItsBounds(t *testing.T) {
 	w := newFleetSimulation(t)
 	from := w.now
@@ -22,7 +22,7 @@
 	var change []Target
 	for g := range simulatedGroups {
 		for i := 1; i < 4; i++ {
-			if (g*3+i)%10 < 8 { // of the replicas, six of ten hosts in all
+			if (g*3+i)%10 < 8 { // eight of ten replicas, which are six of ten hosts
 				change = append(change, Target{Host: fmt.Sprintf("h%d-%d", g, i), Group: uint64(g + 1), Removed: true},
 					Target{Host: fmt.Sprintf("n%d-%d", g, i), Group: uint64(g + 1), StartedAt: w.now})
 			}
@@ -34,9 +34,9 @@
 	w.requireBounds("six in ten replaced", from, len(change)/2, false)
 	require.Positive(t, w.peak("cold", from), "cold hosts take their part")
 
-	w.play(6 * time.Second) // they are warm
+	w.play(6 * time.Second) // after this they are warm
 	w.requireCapacity("six in ten replaced", from)
-	lose := func(third uint64) (back []Target) {
+	takeDown := func(third uint64) (back []Target) {
 		for h, e := range w.list {
 			if e.Group%3 == third && !e.Removed {
 				w.down[h] = true
@@ -47,7 +47,7 @@
 		w.play(5 * time.Second)
 		return back
 	}
-	comes := func(back []Target) {
+	bringBack := func(back []Target) {
 		clear(w.down)
 		for i := range back {
 			back[i].StartedAt = w.now
@@ -57,20 +57,20 @@
 		w.play(6 * time.Second)
 	}
 	from = w.now
-	back := lose(0)
+	back := takeDown(0)
 	w.requireBounds("a third is lost", from, 0, false)
-	comes(back)
+	bringBack(back)
 	w.requireBounds("it is back", from, len(back), false)
 	w.requireCapacity("it is back", from)
 	require.Less(t, w.rejected, w.arrived/10)
 
-	back = lose(1)
+	back = takeDown(1)
 	w.rate, w.baseRate = w.rate*1.5, w.baseRate*1.5
-	comes(back)
+	bringBack(back)
 	w.requireCapacity("another is back in a burst", from)
 }
 
-// slowStartScenario is what happens to cold hosts of every group at once, and to the fleet meanwhile.
+// slowStartScenario starts hosts of every group at once and changes the fleet meanwhile.
 type slowStartScenario struct {
 	name     string
 	replicas int // of each group; 0: the usual number
@@ -78,14 +78,14 @@
 }
 
 var slowStartScenarios = []slowStartScenario{
-	{"one replica", 0, func(w *fleetSimulation) { w.bounce(time.Second, w.hosts(1)...) }},
-	{"two replicas", 0, func(w *fleetSimulation) { w.bounce(time.Second, w.hosts(1, 2)...) }},
-	{"all replicas", 0, func(w *fleetSimulation) { w.bounce(time.Second, w.hosts(1, 2, 3)...) }},
-	{"the primary", 0, func(w *fleetSimulation) { w.bounce(time.Second, w.hosts(0)...) }},
-	{"the whole group", 0, func(w *fleetSimulation) { w.bounce(4*time.Second, w.hosts(0, 1, 2, 3)...) }},
+	{"one replica", 0, func(w *fleetSimulation) { w.restartHosts(time.Second, w.hosts(1)...) }},
+	{"two replicas", 0, func(w *fleetSimulation) { w.restartHosts(time.Second, w.hosts(1, 2)...) }},
+	{"all replicas", 0, func(w *fleetSimulation) { w.restartHosts(time.Second, w.hosts(1, 2, 3)...) }},
+	{"the primary", 0, func(w *fleetSimulation) { w.restartHosts(time.Second, w.hosts(0)...) }},
+	{"the whole group", 0, func(w *fleetSimulation) { w.restartHosts(4*time.Second, w.hosts(0, 1, 2, 3)...) }},
 	{"one by one", 0, func(w *fleetSimulation) {
 		for i := range 4 {
-			w.start(atOnce, w.hosts(3-i)...)
+			w.startHosts(withoutDelay, w.hosts(3-i)...)
 			w.play(1500 * ms)
 		}
 	}},
@@ -94,10 +94,10 @@
 			w.answerTimes[h] = 350 * ms
 		}
 		w.play(time.Second)
-		w.start(atOnce, w.hosts(1)...)
+		w.startHosts(withoutDelay, w.hosts(1)...)
 	}},
 	{"one, and the others can't be reached", 0, func(w *fleetSimulation) {
-		w.bounce(time.Second, w.hosts(1)...)
+		w.restartHosts(time.Second, w.hosts(1)...)
 		w.play(500 * ms)
 		for _, h := range w.hosts(2, 3) {
 			w.broken[h] = true
@@ -105,31 +105,31 @@
 	}},
 	{"the whole group, clients mark their repeats", 0, func(w *fleetSimulation) {
 		w.clientRetries, w.marksRetries = 2, true
-		w.bounce(4*time.Second, w.hosts(0, 1, 2, 3)...)
+		w.restartHosts(4*time.Second, w.hosts(0, 1, 2, 3)...)
 	}},
-	// Only what was refused comes again, so no more is sent than clients want; at the full load that is twice N.
+	// Clients retry only rejected requests, so no more is sent than they want; at the full load that would be twice N.
 	{"the whole group at six tenths of the load, clients come again unmarked", 0, func(w *fleetSimulation) {
 		w.rate, w.clientRetries = w.rate*0.6, 2
-		w.bounce(4*time.Second, w.hosts(0, 1, 2, 3)...)
+		w.restartHosts(4*time.Second, w.hosts(0, 1, 2, 3)...)
 	}},
 	{"the whole group, replicas behind", 0, func(w *fleetSimulation) {
 		w.lagBehind(w.hosts(1, 2, 3)...)
-		w.bounce(4*time.Second, w.hosts(0, 1, 2, 3)...)
+		w.restartHosts(4*time.Second, w.hosts(0, 1, 2, 3)...)
 	}},
 	{"the whole group, replicas behind, three writes in ten", 0, func(w *fleetSimulation) {
 		w.mix = []float64{eventualRead: 3, boundedRead: 4, atMostOnceWrite: 3}
 		w.lagBehind(w.hosts(1, 2, 3)...)
-		w.bounce(4*time.Second, w.hosts(0, 1, 2, 3)...)
+		w.restartHosts(4*time.Second, w.hosts(0, 1, 2, 3)...)
 	}},
 	{"the whole group, replicas behind, two writes and two fresh reads in ten", 0, func(w *fleetSimulation) {
 		w.mix = []float64{eventualRead: 3, boundedRead: 3, strongRead: 2, atMostOnceWrite: 2}
 		w.lagBehind(w.hosts(1, 2, 3)...)
-		w.bounce(4*time.Second, w.hosts(0, 1, 2, 3)...)
+		w.restartHosts(4*time.Second, w.hosts(0, 1, 2, 3)...)
 	}},
-	// A replica's part is half then, and was a third: the load has to be one that two can bear.
+	// A replica's share grows from a third to a half, so the load has to be one that two replicas can bear.
 	{"a cold replica becomes primary at three quarters of the load", 0, func(w *fleetSimulation) {
 		w.rate *= 0.75
-		w.bounce(time.Second, w.hosts(1, 2, 3)...)
+		w.restartHosts(time.Second, w.hosts(1, 2, 3)...)
 		w.play(500 * ms)
 		var change []Target
 		for g := range w.groups {
@@ -140,50 +140,50 @@
 		w.announce(change...)
 	}},
 	{"routers restart one by one", 0, func(w *fleetSimulation) {
-		w.bounce(time.Second, w.hosts(1, 2, 3)...)
+		w.restartHosts(time.Second, w.hosts(1, 2, 3)...)
 		for i := range w.routers {
 			w.play(3 * time.Second / time.Duration(len(w.routers)))
-			w.restart(i, nil)
+			w.restartRouter(i, nil)
 		}
 	}},
-	// All that they held comes again at that moment, unmarked.
+	// The clients of all their pending requests retry at that time, unmarked.
 	{"seven in ten routers restart at once at three quarters of the load", 0, func(w *fleetSimulation) {
 		w.rate *= 0.75
-		w.bounce(4*time.Second, w.hosts(0, 1, 2, 3)...)
+		w.restartHosts(4*time.Second, w.hosts(0, 1, 2, 3)...)
 		w.play(200 * ms)
 		for i := range w.routers {
 			if i%10 < 7 {
-				w.restart(i, nil)
+				w.restartRouter(i, nil)
 			}
 		}
 	}},
 	{"a tenth of the routers are told late", 0, func(w *fleetSimulation) {
-		w.start(func(i int) time.Duration { return time.Duration(i%10/9) * 3 * time.Second }, w.hosts(1, 2, 3)...)
+		w.startHosts(func(i int) time.Duration { return time.Duration(i%10/9) * 3 * time.Second }, w.hosts(1, 2, 3)...)
 	}},
 	{"a third of the routers are told late", 0, func(w *fleetSimulation) {
-		w.start(func(i int) time.Duration { return time.Duration(i%3/2) * 3 * time.Second }, w.hosts(1, 2, 3)...)
+		w.startHosts(func(i int) time.Duration { return time.Duration(i%3/2) * 3 * time.Second }, w.hosts(1, 2, 3)...)
 	}},
 	{"a tenth of the routers restart with an old list", 0, func(w *fleetSimulation) {
 		old := w.entries()
-		w.start(atOnce, w.hosts(1, 2, 3)...)
+		w.startHosts(withoutDelay, w.hosts(1, 2, 3)...)
 		for i := range w.routers {
 			if w.play(3 * time.Second / time.Duration(len(w.routers))); i%10 == 9 {
-				w.restart(i, old)
-				w.later(2*time.Second, i, TargetsChanged{Full: true, Targets: w.entries()})
+				w.restartRouter(i, old)
+				w.schedule(2*time.Second, i, TargetsChanged{Full: true, Targets: w.entries()})
 			}
 		}
 	}},
 }
 
-// surge has more come from now on; what warm hosts bear stays.
+// surge multiplies the request rate from now on; what warm hosts bear stays the same.
 func surge(w *fleetSimulation, factor float64) { w.rate *= factor }
 
-// memberScenarios are what changes around one warming replica of each group, at a part of the full load.
+// memberScenarios change the other members or the load while one replica of each group warms up.
 var memberScenarios = []struct {
 	name     string
 	replicas int
 	load     float64
-	speed    float64 // of the warming host, as a part of the others'
+	speed    float64 // of the warming host, as a fraction of the others'
 	change   func(w *fleetSimulation)
 }{
 	{"nothing changes", 3, 1, 1, func(*fleetSimulation) {}},
@@ -219,7 +219,7 @@
 		w.drain(w.hosts(2, 3)...)
 		for i := range w.routers {
 			if i%10 == 0 {
-				w.restart(i, nil)
+				w.restartRouter(i, nil)
 			}
 		}
 	}},
@@ -234,7 +234,8 @@
 		w.promote(w.hosts(2)...)
 		w.drain(w.hosts(0)...)
 	}},
-	// As in the operators' second run: it is the primary of one group in steps, each 4.29 s, that replace all others.
+	// As in the operators' second run: a release replaces the other members of the group in steps of 4.29 s, and the warming
+	// host becomes the primary.
 	{"a release by steps", 3, 0.5, 1, func(w *fleetSimulation) {
 		for _, i := range []int{2, 3} {
 			w.drain(w.hosts(i)...)
@@ -257,19 +258,19 @@
 	surge(w, 2.5)
 }
 
-// changesAround plays each of memberScenarios some time after the start of the warming replica.
+// changesAround returns scenarios that play each of memberScenarios at two times after the start of the warming replica.
 func changesAround() (all []slowStartScenario) {
-	for _, k := range memberScenarios {
+	for _, tc := range memberScenarios {
 		for _, after := range []time.Duration{1500 * ms, 4500 * ms} {
 			all = append(all, slowStartScenario{
-				fmt.Sprintf("%s, %v after a start, %d replicas, load %v, speed %v", k.name, after, k.replicas, k.load, k.speed), k.replicas,
+				fmt.Sprintf("%s, %v after a start, %d replicas, load %v, speed %v", tc.name, after, tc.replicas, tc.load, tc.speed), tc.replicas,
 				func(w *fleetSimulation) {
-					w.rate *= k.load
-					w.slow(k.speed, w.hosts(1)...)
-					w.play(4 * time.Second) // what is usual at this load
-					w.bounce(time.Second, w.hosts(1)...)
+					w.rate *= tc.load
+					w.setSpeed(tc.speed, w.hosts(1)...)
+					w.play(4 * time.Second) // routers learn the usual load
+					w.restartHosts(time.Second, w.hosts(1)...)
 					w.play(after)
-					k.change(w)
+					tc.change(w)
 				},
 			})
 		}
@@ -277,34 +278,35 @@
 	return all
 }
 
-func uneven(i int) float64 { return 1 + 4*float64(i%5/4) } // one in five sees five times what the others do
+func uneven(i int) float64 { return 1 + 4*float64(i%5/4) } // one in five routers gets five times as many requests as the others
 
-// In two pre-production runs a host that had started 7.3 and 8.6 s before, in the middle of its slow start, fell under the load of
-// 219 and 176 poolers of which each kept to its part. The part was one of as many as the list held replicas at that moment: while
-// a release drained the others and a hot key raised what the group was asked, it grew at once, and what the host bears did not.
-// Played here, 219 routers sent such a host 1.2 to 2.6 times what it stands, where nothing else changed 0.4 to 0.8 of it.
+// A warming host fails under the sum of what all routers send it. Probes, retries and requests that it rejects count.
 //
-// A cold host falls under the sum of what all routers send it. Probes, repeats and what it turns away count.
+// In two pre-production runs a host that had started 7.3 and 8.6 s before, in the middle of its slow start, failed under the
+// load of 219 and 176 poolers, each of which kept to its share. The share was the group's load divided by the number of
+// replicas on the list at that moment. It grew at once while a release drained the other replicas and a hot key raised the
+// load of the group, but what the host could bear did not grow. In this simulation, 219 routers sent such a host 1.2 to 2.6
+// times what it withstands, and 0.4 to 0.8 times where nothing else changed.
 func TestWarmingHostsBearWhatAllRoutersSend(t *testing.T) {
-	for _, k := range []struct {
+	for _, tc := range []struct {
 		routers int
 		share   func(int) float64
-		known   float64 // how many routers the settings say there are, for each that there is
+		known   float64 // RouterCount in the settings, as a multiple of the actual number of routers
 	}{{1, nil, 1}, {3, nil, 1}, {5, uneven, 1}, {20, nil, 1}, {30, uneven, 1}, {30, nil, 0.5}, {30, nil, 1.5}, {300, nil, 1}, {300, uneven, 1}} {
-		for _, r := range slices.Concat(slowStartScenarios, changesAround()) {
-			t.Run(fmt.Sprintf("%d routers, even %v, known as %v: %s", k.routers, k.share == nil, k.known, r.name), func(t *testing.T) {
+		for _, scenario := range slices.Concat(slowStartScenarios, changesAround()) {
+			t.Run(fmt.Sprintf("%d routers, even %v, known as %v: %s", tc.routers, tc.share == nil, tc.known, scenario.name), func(t *testing.T) {
 				t.Parallel()
-				w := newFleetSimulationWith(t, k.routers, 6, cmp.Or(r.replicas, usualReplicas), 9, k.share)
+				w := newFleetSimulationWith(t, tc.routers, 6, cmp.Or(scenario.replicas, usualReplicas), 9, tc.share)
 				for i, c := range w.routers {
 					s := w.cfg
-					s.RouterIndex, s.RouterCount = 0, int(math.Ceil(k.known*float64(k.routers)))
+					s.RouterIndex, s.RouterCount = 0, int(math.Ceil(tc.known*float64(tc.routers)))
 					require.NoError(t, c.Configure(s), i)
 				}
 				w.play(2 * time.Second)
 				from := w.now
-				r.run(w)
+				scenario.run(w)
 				w.play(5 * time.Second)
-				w.requireCapacity(r.name, from)
+				w.requireCapacity(scenario.name, from)
 			})
 		}
 	}
--- a/routing/dedup_test.go
+++ b/routing/dedup_test.go
@@ -5,48 +5,48 @@
 	"time"
 )
 
-// A keyed write that may have run goes nowhere once its window has passed, not even from being held.
-func TestKeyedWindow(t *testing.T) {
+// A deduplicated write that may have run is not sent again after its dedup window, not even from the queue.
+func TestDedupWindow(t *testing.T) {
 	g := startHarness(t, settings(), shard()...)
 	id, _ := g.request(deduplicatedWrite, RequestArrived{})
 	g.now += 100 * ms
 	g.step(TargetsChanged{Targets: []Target{{Host: "p", Group: 1, Removed: true}}})
-	as, attempt := g.outcome(id, 0, ConnectionLost, Unknown), 0
+	actions, attempt := g.outcome(id, 0, ConnectionLost, Unknown), 0
 	for range 40 {
-		for i := 0; i < len(as); i++ {
-			a := as[i]
+		for i := 0; i < len(actions); i++ {
+			a := actions[i]
 			if a.Kind == ActSend && g.now >= startTime+3*time.Second {
 				t.Fatalf("sent %v after its send, the window is 3 s", g.now-startTime)
 			}
 			if a.Kind == ActSend {
 				attempt++
-				as = append(as, g.outcome(id, attempt, ConnectionLost, Unknown)...)
+				actions = append(actions, g.outcome(id, attempt, ConnectionLost, Unknown)...)
 			}
 			if a.Kind == ActFail {
 				return
 			}
 			if a.Kind == ActReject {
-				t.Fatal("refused, though it may have run")
+				t.Fatal("rejected, though it may have run")
 			}
 		}
-		as = g.advance(100 * ms)
+		actions = g.advance(100 * ms)
 	}
 	t.Error("no final answer")
 }
 
-// windowed are settings in which a keyed class has a window of one second, and a deadline far beyond it.
+// windowed returns settings in which the deduplicated class has a dedup window of one second, and a deadline far beyond it.
 func windowed(scope DedupScope) Settings {
 	s := settings()
 	s.Classes[deduplicatedWrite].Scope, s.Classes[deduplicatedWrite].DedupWindow = scope, time.Second
 	return s
 }
 
-// A repeat is begun only if it can end inside the window: as long before its end as an answer of its class takes.
-func TestARetryBeginsOnlyIfItCanEndInItsWindow(t *testing.T) {
-	for _, k := range []struct {
+// A retry starts only if it can end within the dedup window: at least the latency of its class before the window ends.
+func TestRetryStartsOnlyIfItCanEndInItsDedupWindow(t *testing.T) {
+	for _, tc := range []struct {
 		name   string
-		usual  time.Duration // what answers of the class took before; 0: none was seen
-		failed time.Duration // when the first attempt fails, from its choice
+		usual  time.Duration // latency of earlier answers of the class; 0: none was seen
+		failed time.Duration // when the first attempt fails, from when it was chosen
 		want   ActionKind
 	}{
 		{"early", 0, 300 * ms, ActSend},
@@ -58,32 +58,32 @@
 		{"past the window", 0, 1100 * ms, ActFail},
 	} {
 		g := startHarness(t, windowed(ScopeCell), shard()...)
-		if k.usual > 0 {
+		if tc.usual > 0 {
 			id, _ := g.request(deduplicatedWrite, RequestArrived{})
-			g.now += k.usual
-			g.step(AttemptEnded{ID: id, Code: OK, Role: Primary, Final: true, Elapsed: k.usual})
+			g.now += tc.usual
+			g.step(AttemptEnded{ID: id, Code: OK, Role: Primary, Final: true, Elapsed: tc.usual})
 		}
 		id, _ := g.request(deduplicatedWrite, RequestArrived{})
-		g.now += k.failed
-		if found, _ := actionsOf(k.want, g.outcome(id, 0, ConnectionLost, Unknown)); len(found) != 1 {
-			t.Errorf("%s: no %v", k.name, k.want)
+		g.now += tc.failed
+		if found, _ := actionsOf(tc.want, g.outcome(id, 0, ConnectionLost, Unknown)); len(found) != 1 {
+			t.Errorf("%s: no %v", tc.name, tc.want)
 		}
 	}
 }
 
-// The window counts at the write: what was chosen inside it and dialled past its end is not sent. The same for what has
-// run while it must not be sent twice; and a first attempt knows no window.
-func TestTheWindowIsCheckedAtTheWrite(t *testing.T) {
+// The dedup window is checked again when an attempt is about to be written: a retry that was chosen within the window
+// but whose connection came up too late is not sent. A first attempt has no window.
+func TestDedupWindowIsCheckedAtTheWrite(t *testing.T) {
 	g := startHarness(t, windowed(ScopeCell), shard()...)
 	first, _ := g.request(deduplicatedWrite, RequestArrived{})
 	if !g.c.Revalidate(g.now+2*time.Second, first, 0) {
-		t.Error("a first attempt is held to a window")
+		t.Error("a first attempt is limited by a dedup window")
 	}
 	g = startHarness(t, windowed(ScopeCell), shard()...)
 	id, _ := g.request(deduplicatedWrite, RequestArrived{})
 	g.now += 300 * ms
 	if found, _ := actionsOf(ActSend, g.outcome(id, 0, NoAnswer, Unknown)); len(found) != 1 {
-		t.Fatal("no repeat inside the window")
+		t.Fatal("no retry within the dedup window")
 	}
 	if g.now += 500 * ms; !g.c.Revalidate(g.now, id, 1) {
 		t.Error("not sent though an answer fits into the window")
@@ -92,29 +92,29 @@
 		t.Error("sent 950 ms after the first attempt, with a window of 1 s: it can't end inside")
 	}
 	if found, _ := actionsOf(ActFail, g.outcome(id, 1, NotSent, Unknown)); len(found) != 1 {
-		t.Error("no final answer once the window does not allow a repeat")
+		t.Error("no final answer once the dedup window does not allow a retry")
 	}
 }
 
-// What still waits in a host's queue when the window ends must not run then: the host is told to give up before.
-func TestARetryTimesOutAtTheEndOfItsWindow(t *testing.T) {
+// A retry that still waits in the host's queue when the dedup window ends must not run, so its timeout ends before that.
+func TestRetryTimesOutAtTheEndOfItsDedupWindow(t *testing.T) {
 	g := startHarness(t, windowed(ScopeAll), shard()...)
-	_, as := g.request(deduplicatedWrite, RequestArrived{})
-	if first, _ := actionsOf(ActSend, as); first[0].Timeout != time.Second {
-		t.Errorf("the first attempt may take %v, its aim is 1 s", first[0].Timeout)
+	_, actions := g.request(deduplicatedWrite, RequestArrived{})
+	if first, _ := actionsOf(ActSend, actions); first[0].Timeout != time.Second {
+		t.Errorf("the timeout of the first attempt is %v, its latency objective is 1 s", first[0].Timeout)
 	}
 	id, _ := g.request(deduplicatedWrite, RequestArrived{})
 	g.now += 700 * ms
 	again, _ := actionsOf(ActSend, g.outcome(id, 0, ConnectionLost, Unknown))
 	if len(again) != 1 || again[0].Timeout != 300*ms-answerMargin {
-		t.Errorf("the repeat may take %v, 300 ms are left of the window", again)
+		t.Errorf("retry %v, want a timeout below the 300 ms that are left of the dedup window", again)
 	}
 }
 
-// The window counts from the first attempt that may have run, not from one that was turned away before it; and by the
-// group that discards repeats it may go on, be refused or must fail.
-func TestWhatFollowsAnAttemptThatMayHaveRun(t *testing.T) {
-	for _, k := range []struct {
+// The dedup window starts with the first attempt that may have run, not with an earlier one that certainly didn't run.
+// By the scope in which repeats are discarded, the request is then retried, rejected or failed.
+func TestFinalAnswerAfterAnAttemptThatMayHaveRun(t *testing.T) {
+	for _, tc := range []struct {
 		name  string
 		class int
 		scope DedupScope
@@ -132,17 +132,17 @@
 		{"at most once, given up", atMostOnceWrite, ScopeCell, 100 * ms, Cancelled, ActFail},
 		{"at most once, turned away", atMostOnceWrite, ScopeCell, 100 * ms, Misdirected, ActSend},
 	} {
-		g := startHarness(t, windowed(k.scope), shard()...)
-		id, _ := g.request(k.class, RequestArrived{})
-		g.now += 200 * ms // the first never came up: no window begins there
-		as := append(g.outcome(id, 0, NoConnection, Unknown), g.advance(searchBackoff)...)
-		if found, _ := actionsOf(ActSend, as); len(found) != 1 {
-			t.Fatalf("%s: %v", k.name, as)
+		g := startHarness(t, windowed(tc.scope), shard()...)
+		id, _ := g.request(tc.class, RequestArrived{})
+		g.now += 200 * ms // the first attempt does not connect: the window does not start there
+		actions := append(g.outcome(id, 0, NoConnection, Unknown), g.advance(searchBackoff)...)
+		if found, _ := actionsOf(ActSend, actions); len(found) != 1 {
+			t.Fatalf("%s: %v", tc.name, actions)
 		}
-		g.now += k.after
-		as = append(g.outcome(id, 1, k.code, Unknown), g.advance(tickInterval)...)
-		if found, _ := actionsOf(k.want, as); len(found) != 1 {
-			t.Errorf("%s: %v", k.name, as)
+		g.now += tc.after
+		actions = append(g.outcome(id, 1, tc.code, Unknown), g.advance(tickInterval)...)
+		if found, _ := actionsOf(tc.want, actions); len(found) != 1 {
+			t.Errorf("%s: %v", tc.name, actions)
 		}
 	}
 }
--- a/routing/evidence_test.go
+++ b/routing/evidence_test.go
@@ -7,18 +7,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What is read from hosts and lists arrives in no particular order: each connection has its own, the goroutines that
-// report are not ordered, and a connection that was silent brings old news. So a role is dated by when the host can have
-// said it at the latest: a replica is one as of now, a primary was one as of its own stamp.
+// Evidence from hosts and endpoint lists arrives in no particular order: connections are independent, so are the goroutines
+// that report, and a connection that was silent may deliver old answers. A role is therefore dated with care: the role of
+// replica counts from now on, the role of primary only as of the position in the host's answer.
 
-func TestAnAnswerFromBeforeAHandOverMakesNoPrimary(t *testing.T) {
+func TestAnswerFromBeforeAFailoverMakesNoPrimary(t *testing.T) {
 	for _, order := range []string{"as they were written", "the other way round"} {
 		t.Run(order, func(t *testing.T) {
 			g := startHarness(t, settings(), shard()...)
 			ids := g.sentToPrimary(2)
 			g.now += 100 * ms
 			written := g.now
-			g.now += 3 * time.Second // in which p hung, was given up, and came back as a replica
+			g.now += 3 * time.Second // in this time p hung, lost its role and came back as a replica
 			old := func() { g.answer(ids[0], OK, Primary, written) }
 			now := func() { g.answer(ids[1], OK, Replica, written+ms) }
 			if order == "as they were written" {
@@ -31,14 +31,14 @@
 				old()
 			}
 			require.Nil(t, g.c.groups[1].primary(), "p said that it is a replica")
-			_, as := g.request(strongRead, RequestArrived{})
-			sends, _ := actionsOf(ActSend, as)
+			_, actions := g.request(strongRead, RequestArrived{})
+			sends, _ := actionsOf(ActSend, actions)
 			require.Empty(t, sends)
 		})
 	}
 }
 
-func TestAPrimaryWithoutAStampIsDatedByTheSendOfItsAttempt(t *testing.T) {
+func TestPrimaryWithoutPositionIsDatedByTheSendOfItsAttempt(t *testing.T) {
 	g := startHarness(t, settings(), shard()...)
 	ids := g.sentToPrimary(2)
 	g.now += 100 * ms
@@ -47,37 +47,38 @@
 	g.answer(ids[0], OK, Primary, 0)
 	require.Nil(t, g.c.groups[1].primary())
 	g.now += 10 * ms
-	id, as := g.request(atMostOnceWrite, RequestArrived{}) // it searches, and finds p to be the primary again
+	id, actions := g.request(atMostOnceWrite, RequestArrived{}) // it searches for the primary and finds p again
 	for {
-		sends, host := actionsOf(ActSend, as)
+		sends, host := actionsOf(ActSend, actions)
 		if len(sends) == 0 {
-			as = g.advance(searchBackoff)
+			actions = g.advance(searchBackoff)
 			continue
 		}
 		if host == "p" {
 			break
 		}
 		n := g.c.requests[id].attempts
-		as = g.step(AttemptEnded{ID: id, Attempt: len(n) - 1, Code: Misdirected, Role: Replica, Elapsed: ms})
+		actions = g.step(AttemptEnded{ID: id, Attempt: len(n) - 1, Code: Misdirected, Role: Replica, Elapsed: ms})
 	}
 	g.step(AttemptEnded{ID: id, Attempt: len(g.c.requests[id].attempts) - 1, Code: OK, Role: Primary, Final: true, Elapsed: ms})
 	require.Equal(t, "p", g.c.groups[1].primary().host)
 }
 
-// A replica's report stands at its position, which may be from long before it said so.
-func TestAReplicasReportCountsFromNow(t *testing.T) {
+// A replica's position may be much older than its report, so its role counts from when the report arrives.
+func TestReplicaReportCountsFromNow(t *testing.T) {
 	g := startHarness(t, settings(), shard()...)
 	g.reportPositions(Primary, 0, "p")
 	g.now += 3 * time.Second
-	g.reportPositions(Replica, 3100*ms, "p") // it stands where it stood when it lost its role
+	g.reportPositions(Replica, 3100*ms, "p") // its position is still that of when it lost its role
 	require.Nil(t, g.c.groups[1].primary())
 	g.now += 50 * ms
 	g.reportPositions(Primary, 10*ms, "p")
 	require.Equal(t, "p", g.c.groups[1].primary().host)
 }
 
-// A position ahead of the clock is garbled and proves nothing; the word beside it may still only make more careful.
-func TestAGarbledPositionHidesNoReplica(t *testing.T) {
+// A position ahead of the clock is garbled and proves nothing. The role that comes with it counts only if it is that of a
+// replica, which makes the router more careful.
+func TestGarbledPositionStillReportsAReplica(t *testing.T) {
 	g := startHarness(t, settings(), shard()...)
 	ids := g.sentToPrimary(1)
 	g.answer(ids[0], OK, Replica, g.now+time.Hour)
@@ -87,8 +88,9 @@
 	require.Nil(t, g.c.groups[1].primary(), "nor does it make a primary")
 }
 
-// The report beside an answer is older than the answer: its date says so.
-func TestAnAnswersRoleGoesBeforeTheReportBesideIt(t *testing.T) {
+// The load report that comes with an answer may be older than the answer, as its position shows; then the answer's role
+// counts.
+func TestRoleOfAnAnswerOverridesItsReport(t *testing.T) {
 	g := startHarness(t, settings(), shard()...)
 	ids := g.sentToPrimary(1)
 	g.now += 50 * ms
@@ -99,8 +101,9 @@
 	require.Equal(t, "p", g.c.groups[1].primary().host)
 }
 
-// An attempt that was given up may still be answered in the same moment: that answer serves nobody, but it teaches.
-func TestALateAnswerIsEvidence(t *testing.T) {
+// An attempt that was given up may still be answered. The answer is of no use to the client, but its role and position
+// count as evidence.
+func TestLateAnswerIsEvidence(t *testing.T) {
 	g := startHarness(t, settings(), shard()...)
 	g.reportPositions(Primary, 0, "p")
 	ids := g.sentToPrimary(1)
@@ -110,9 +113,9 @@
 	g.step(LateAnswer{Host: "p", Role: Replica, Position: g.now - 500*ms})
 	require.Nil(t, g.c.groups[1].primary())
 	g.step(LateAnswer{Host: "a", Role: Replica, Position: g.now - 5*ms})
-	id, as := g.request(boundedRead, RequestArrived{})
-	_, host := actionsOf(ActSend, as)
+	id, actions := g.request(boundedRead, RequestArrived{})
+	_, host := actionsOf(ActSend, actions)
 	require.Equal(t, "a", host, "its position is known now")
 	require.NotNil(t, g.c.requests[id])
-	g.step(LateAnswer{Host: "nobody", Role: Replica}) // a host that is forgotten
+	g.step(LateAnswer{Host: "nobody", Role: Replica}) // a host that is no longer known
 }
--- a/routing/fleet_test.go
+++ b/routing/fleet_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// fleet drives hundreds of routers before a few shared members by hand: every event is written out here, and
-// answers is asked what an attempt comes to.
+// fleet drives hundreds of routers that share a few members. It delivers every event itself; answers determines how an
+// attempt ends.
 type fleet struct {
 	t       testing.TB
 	routers []*Router
@@ -36,20 +36,20 @@
 
 func (f *fleet) list(hosts ...Target) {
 	for _, c := range f.routers {
-		f.carryOut(c, c.Step(f.now, []Event{TargetsChanged{Targets: hosts}}), nil)
+		f.execute(c, c.Step(f.now, []Event{TargetsChanged{Targets: hosts}}), nil)
 	}
 }
 
-// carryOut counts the actions and gives each send its outcome at once, each probe a report of the present.
-func (f *fleet) carryOut(c *Router, as []Action, classes map[string]int) {
-	var es []Event
-	for _, a := range as {
+// execute counts the actions. It answers each send at once, and each probe with a report of the present position.
+func (f *fleet) execute(c *Router, actions []Action, classes map[string]int) {
+	var events []Event
+	for _, a := range actions {
 		switch a.Kind {
 		case ActSend:
 			f.sends[a.Host]++
 			if f.answers != nil {
 				code, role, elapsed := f.answers(a.Host, classes[a.ID])
-				es = append(es, AttemptEnded{
+				events = append(events, AttemptEnded{
 					ID: a.ID, Attempt: len(c.requests[a.ID].attempts) - 1, Host: a.Host,
 					Code: code, Role: role, Final: code == OK, Elapsed: elapsed,
 				})
@@ -60,22 +60,22 @@
 			if a.Host == "p" {
 				role = Primary
 			}
-			es = append(es, ProbeEnded{Host: a.Host, Report: Report{Position: f.now, Role: role}})
+			events = append(events, ProbeEnded{Host: a.Host, Report: Report{Position: f.now, Role: role}})
 		}
 	}
-	if len(es) > 0 {
-		f.carryOut(c, append([]Action(nil), c.Step(f.now, proven(es))...), classes)
+	if len(events) > 0 {
+		f.execute(c, append([]Action(nil), c.Step(f.now, proven(events))...), classes)
 	}
 }
 
-// play gives each router in turn a request of the class, one a millisecond, and wakes all of them now and then.
+// play gives each router in turn a request of the class, one a millisecond.
 func (f *fleet) play(requests, class int) {
 	for i := range requests {
 		f.now += ms
 		f.ids++
 		id := fmt.Sprint("f", f.ids)
 		c := f.routers[i%len(f.routers)]
-		f.carryOut(c, append([]Action(nil), c.Step(f.now, []Event{RequestArrived{
+		f.execute(c, append([]Action(nil), c.Step(f.now, []Event{RequestArrived{
 			ID: id, Class: class, Group: 1,
 			TimeRemaining: c.cfg.Classes[class].Deadline,
 		}})...), map[string]int{id: class})
@@ -89,8 +89,8 @@
 	return OK, Replica, 50 * ms
 }
 
-// What all routers together send a cold member stays a part of what comes in, whether a warm one is left or not, and
-// however many routers there are. With four members a warm one gets a third of the reads.
+// All routers together send a warming member only a limited part of the reads, whether or not a warm replica is left and
+// however many routers there are. With four members a warm replica gets a third of the reads.
 func TestFleetSlowStart(t *testing.T) {
 	for _, routers := range []int{1, 300} {
 		for name, cold := range map[string][]string{"one": {"a"}, "all": {"a", "b", "c"}} {
@@ -105,7 +105,7 @@
 			f := newFleet(t, routers, hosts)
 			f.answers = answerQuickly
 			f.play(1000, eventualRead)
-			most := 1000.0 / 3 * slowStartSafety * 2.5 * 0.29 // the sure share rises to 0.28 within the second
+			most := 1000.0 / 3 * slowStartSafety * 2.5 * 0.29 // the sure part of its capacity rises to 0.28 within the second
 			if got := float64(f.sends["a"]); got == 0 || got > 1.25*most {
 				t.Errorf("%d routers, %s cold: %.0f sends to a in a second, want up to %.0f", routers, name, got, most)
 			}
@@ -113,7 +113,7 @@
 	}
 }
 
-// Hosts that were replaced leave their part to those that came: members that are remembered, though gone, take none.
+// Replacements get the share of the hosts that they replace: removed members that the routers still remember don't count.
 func TestFleetSlowStartAfterReplacement(t *testing.T) {
 	for _, routers := range []int{1, 80} {
 		f := newFleet(t, routers, shard())
@@ -122,7 +122,7 @@
 			Target{Host: "z", Group: 1, StartedAt: startTime}, Target{Host: "a", Group: 1, Removed: true},
 			Target{Host: "b", Group: 1, Removed: true}, Target{Host: "c", Group: 1, Removed: true})
 		f.play(1000, eventualRead)
-		expected := 1000.0 / 3 * slowStartSafety * 2.5 * 0.24 // a third of the reads, at the sure share's mean over a second
+		expected := 1000.0 / 3 * slowStartSafety * 2.5 * 0.24 // a third of the reads, at the mean sure capacity of a second
 		for _, h := range []string{"x", "y", "z"} {
 			if got := float64(f.sends[h]); got < 0.6*expected || got > 1.4*expected {
 				t.Errorf("%d routers: %.0f sends to cold %s in a second, want about %.0f", routers, got, h, expected)
@@ -131,8 +131,8 @@
 	}
 }
 
-// Writes that every router held while the group was down don't reach a restarted member at a stroke, neither those
-// that search for the primary nor those that know it.
+// Writes that were queued at every router while the group was down don't all reach a restarted member at once, whether
+// they search for the primary or know it.
 func TestFleetReleasesQueuedWritesSlowly(t *testing.T) {
 	hosts := shard()
 	for i := range hosts {
@@ -154,17 +154,17 @@
 	for range 100 {
 		f.now += 10 * ms
 		for _, c := range f.routers {
-			f.carryOut(c, append([]Action(nil), c.Step(f.now, []Event{TimerFired{}})...), nil)
+			f.execute(c, append([]Action(nil), c.Step(f.now, []Event{TimerFired{}})...), nil)
 		}
 	}
 	for _, h := range []string{"p", "a", "b", "c"} {
 		if f.sends[h] > 60 {
-			t.Errorf("%d of 300 held writes went to cold %s within a second", f.sends[h], h)
+			t.Errorf("%d of 300 queued writes went to warming %s within a second", f.sends[h], h)
 		}
 	}
 }
 
-// Positions are asked for only by reads that need them, two at the most, and nothing is asked at the start.
+// Only reads that need a position send probes, at most maxProbesPerRead each. A router sends none when it starts.
 func TestFleetProbes(t *testing.T) {
 	f := newFleet(t, 300, shard())
 	f.answers = answerQuickly
@@ -181,7 +181,7 @@
 	}
 }
 
-// When every attempt fails late, all routers together make few further ones.
+// When every attempt fails late, all routers together make few retries.
 func TestFleetRetries(t *testing.T) {
 	f := newFleet(t, 300, shard())
 	f.answers = func(string, int) (Code, Role, time.Duration) { return NoAnswer, Unknown, 380 * ms }
@@ -190,13 +190,13 @@
 	for _, n := range f.sends {
 		total += n
 	}
-	if extra := total - 900; extra > 90+150 { // a tenth, and half an attempt saved at each router's start
+	if extra := total - 900; extra > 90+150 { // a tenth, and half an attempt in each router's initial budget
 		t.Errorf("%d extra attempts for 900 reads", extra)
 	}
 }
 
-// A router that has few open connections goes on using them, so that a host needs few from a large fleet.
-func TestFleetSparesConnections(t *testing.T) {
+// A router goes on using the few connections that it has open, so that each host needs few for a large fleet.
+func TestFleetReusesOpenConnections(t *testing.T) {
 	hosts := []Target{{Host: "p", Group: 1, Primary: true}}
 	for i := range 8 {
 		hosts = append(hosts, Target{Host: fmt.Sprint("r", i), Group: 1})
@@ -222,8 +222,8 @@
 	}
 }
 
-// The fleet grows: new cold members get some of the reads though the routers have connections to others, and no more
-// than their part.
+// When members are added, they get some of the reads although the routers have connections to others, but no more than
+// their share.
 func TestFleetGrowth(t *testing.T) {
 	f := newFleet(t, 200, shard())
 	f.answers = answerQuickly
@@ -239,7 +239,7 @@
 	for i := range 4 {
 		fresh += f.sends[fmt.Sprint("new", i)]
 	}
-	most := 2000.0 * 4 / 7 * slowStartSafety * 2.5 * 0.36 // as if all draws were open to them; the sure share rises to 0.36
+	most := 2000.0 * 4 / 7 * slowStartSafety * 2.5 * 0.36 // if all draws included them; the sure capacity rises to 0.36
 	if fresh < 20 || float64(fresh) > 1.25*most {
 		t.Errorf("four new members got %d of 2000 reads, want 20 to %.0f", fresh, 1.25*most)
 	}
@@ -248,7 +248,7 @@
 	}
 }
 
-// New connections are slow, open ones are not: most reads stay on open ones.
+// When new connections are slow to open, most reads use connections that are open already.
 func TestSlowHandshakes(t *testing.T) {
 	hosts := []Target{{Host: "p", Group: 1, Primary: true}}
 	for i := range 8 {
@@ -280,7 +280,7 @@
 			f.now += ms
 			f.ids++
 			id := fmt.Sprint("h", f.ids)
-			f.carryOut(c, append([]Action(nil), c.Step(f.now, []Event{RequestArrived{
+			f.execute(c, append([]Action(nil), c.Step(f.now, []Event{RequestArrived{
 				ID: id, Class: eventualRead, Group: 1,
 				TimeRemaining: c.cfg.Classes[eventualRead].Deadline,
 			}})...), map[string]int{id: eventualRead})
--- a/routing/groupclock_test.go
+++ b/routing/groupclock_test.go
@@ -14,9 +14,9 @@
 	g.step(ProbeEnded{Host: host, Report: Report{Position: g.now + ahead - lag, Role: role}})
 }
 
-// Positions are compared on the clock of the group's primary: a replica that lags too far there proves nothing, one that does not
-// serves, and the primary's own word on its role counts.
-func TestAClockThatIsBehindIsReckonedWith(t *testing.T) {
+// Positions are compared on the clock of the group's primary. A replica that lags too far on that clock does not qualify,
+// one that doesn't lag so far does, and the primary is still known as such by its own report.
+func TestPositionsAreComparedOnTheGroupClock(t *testing.T) {
 	for _, behind := range []time.Duration{0, 100 * ms, 2 * time.Second, time.Hour} {
 		g := startHarness(t, settings(), shard()...)
 		for range clockReports {
@@ -25,8 +25,8 @@
 		g.reportAhead("a", Replica, behind, 310*ms) // the class permits 300
 		g.reportAhead("b", Replica, behind, 200*ms)
 		for range 20 {
-			_, as := g.request(boundedRead, RequestArrived{})
-			_, to := actionsOf(ActSend, as)
+			_, actions := g.request(boundedRead, RequestArrived{})
+			_, to := actionsOf(ActSend, actions)
 			require.NotEqual(t, "a", to, "%v behind", behind)
 		}
 		require.Equal(t, "p", g.c.groups[1].primary().host)
@@ -36,8 +36,8 @@
 	}
 }
 
-// One report that is garbled makes reads careful for a moment, and proves nothing; a replica that lies shifts nothing.
-func TestOneReportShiftsNoClock(t *testing.T) {
+// A single garbled report makes reads stricter for a moment at most, and reports of replicas don't change the clock.
+func TestSingleWrongReportDoesNotShiftTheClock(t *testing.T) {
 	g := startHarness(t, settings(), shard()...)
 	clock := &g.c.groups[1].clock
 	for range clockReports {
@@ -64,23 +64,23 @@
 	require.Zero(t, clock.lead)
 }
 
-// A session's token from a clock that is ahead is taken as it is.
-func TestATokenAheadOfTheClockIsNotCut(t *testing.T) {
+// A session token with a position ahead of the router's clock is not lowered to the router's present.
+func TestSessionTokenAheadOfTheClockIsNotLowered(t *testing.T) {
 	g := startHarness(t, settings(), shard()...)
 	for range clockReports {
 		g.reportAhead("p", Primary, time.Minute, 0)
 	}
 	g.reportAhead("a", Replica, time.Minute, 50*ms)
-	_, as := g.request(sessionRead, RequestArrived{CommitAge: -time.Minute + 40*ms})
-	_, to := actionsOf(ActSend, as)
+	_, actions := g.request(sessionRead, RequestArrived{CommitAge: -time.Minute + 40*ms})
+	_, to := actionsOf(ActSend, actions)
 	require.NotEqual(t, "a", to, "it lacks that commit")
-	_, as = g.request(sessionRead, RequestArrived{CommitAge: -time.Minute + 80*ms})
-	_, to = actionsOf(ActSend, as)
+	_, actions = g.request(sessionRead, RequestArrived{CommitAge: -time.Minute + 80*ms})
+	_, to = actionsOf(ActSend, actions)
 	require.Equal(t, "a", to)
 }
 
-// A router whose clock is ahead when it starts takes no host that has just started for one that is warm.
-func TestAClockThatIsAheadEndsNoSlowStart(t *testing.T) {
+// A router whose clock is ahead does not take a host that has just started for a warm one.
+func TestClockAheadDoesNotEndSlowStart(t *testing.T) {
 	for _, ahead := range []time.Duration{0, 2 * time.Second, 50 * time.Minute} {
 		g := startHarness(t, settings(), shard()...)
 		for range clockReports {
@@ -98,8 +98,8 @@
 	}
 }
 
-// A primary whose reports are old makes a start no later than the list told it.
-func TestOldReportsProlongNoSlowStart(t *testing.T) {
+// Old reports of a primary can't make slow start last longer than its duration from when the list told of the start.
+func TestOldReportsDoNotProlongSlowStart(t *testing.T) {
 	g := startHarness(t, settings(), shard()...)
 	g.step(TargetsChanged{Targets: []Target{{Host: "a", Group: 1, StartedAt: g.now}}})
 	for range clockReports {
@@ -109,8 +109,9 @@
 	require.True(t, math.IsInf(g.c.slowStartRatio(g.c.members["a"]), 1))
 }
 
-// Reports that come late, as from a busy machine, seem to be of a clock that is less far ahead. No read gains by that.
-func TestLateReportsLowerNoLead(t *testing.T) {
+// Reports that arrive late, as from a busy machine, make the group's clock look less far ahead. Reads must not get older
+// data because of that.
+func TestLateReportsDoNotLowerTheLead(t *testing.T) {
 	const behind, late = 300 * ms, 60 * ms
 	g := startHarness(t, settings(), shard()...)
 	clock := &g.c.groups[1].clock
@@ -124,14 +125,14 @@
 	req := &request{group: g.c.groups[1], class: &g.c.classes[boundedRead]}
 	require.False(t, g.c.provesPosition(g.c.members["a"], req))
 	require.Equal(t, behind, clock.lead)
-	for range clockReports { // in time again: confirmed
+	for range clockReports { // these arrive in time again and confirm the lead
 		g.reportAhead("p", Primary, behind, 0)
 	}
 	for confirmed := g.now; g.now < confirmed+leadRetention; {
 		g.reportAhead("p", Primary, behind-late, 0)
 	}
 	require.Equal(t, behind, clock.lead)
-	for range 2 { // of three, the last one in time was the middle one once more
+	for range 2 { // until now the last timely report was among the three
 		g.reportAhead("p", Primary, behind-late, 0)
 	}
 	require.Equal(t, behind-late, clock.lead, "nothing has confirmed it for so long: the clock was set")
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -8,7 +8,7 @@
 
 const ms = time.Millisecond
 
-// startTime is where the tests' clock starts; well past 0, as on a real router.
+// startTime is the initial time of the tests' clock: well past 0, as on a real router.
 const startTime = time.Hour
 
 func settings() Settings {
@@ -39,7 +39,7 @@
 	deduplicatedWrite
 )
 
-// harness drives one Choice by hand.
+// harness drives one Router, event by event.
 type harness struct {
 	t   testing.TB
 	c   *Router
@@ -58,12 +58,12 @@
 	return g
 }
 
-// group is a primary p and the replicas a, b and c, as the list names them.
+// shard returns an endpoint list of one group: the primary p and the replicas a, b and c.
 func shard() []Target {
 	return []Target{{Host: "p", Group: 1, Primary: true}, {Host: "a", Group: 1}, {Host: "b", Group: 1}, {Host: "c", Group: 1}}
 }
 
-// executionOf is what a host that keeps to the operators' pages proves with an ending.
+// executionOf returns what an attempt's code proves about its execution, for a host that behaves as specified.
 func executionOf(code Code) Execution {
 	switch code {
 	case OK, StaleAnswer:
@@ -76,7 +76,7 @@
 	return MayHaveRun
 }
 
-// proven adds to attempts that ended what their endings prove, where a test does not say so itself.
+// proven fills in the execution of ended attempts by their code, where a test does not set it.
 func proven(events []Event) []Event {
 	for i, event := range events {
 		if e, ok := event.(AttemptEnded); ok && e.Execution == MayHaveRun {
@@ -97,13 +97,13 @@
 	return g.step(TimerFired{})
 }
 
-// reportPositions makes hosts answer a probe with their position, given as an age.
+// reportPositions makes hosts answer a probe with a position of the given age.
 func (g *harness) reportPositions(role Role, age time.Duration, hosts ...string) []Action {
-	var es []Event
+	var events []Event
 	for _, h := range hosts {
-		es = append(es, ProbeEnded{Host: h, Report: Report{Position: g.now - age, Role: role}})
+		events = append(events, ProbeEnded{Host: h, Report: Report{Position: g.now - age, Role: role}})
 	}
-	return g.step(es...)
+	return g.step(events...)
 }
 
 func (g *harness) request(class int, e RequestArrived) (string, []Action) {
@@ -121,8 +121,8 @@
 }
 
 // actionsOf returns the actions of a kind, and the host of the first.
-func actionsOf(kind ActionKind, as []Action) (found []Action, host string) {
-	for _, a := range as {
+func actionsOf(kind ActionKind, actions []Action) (found []Action, host string) {
+	for _, a := range actions {
 		if a.Kind == kind {
 			found = append(found, a)
 		}
@@ -133,17 +133,17 @@
 	return found, host
 }
 
-// answer reports an attempt's end with what the host said.
+// answer ends an attempt with the role and position that the host gave.
 func (g *harness) answer(id string, code Code, role Role, position time.Duration) {
 	g.step(AttemptEnded{ID: id, Code: code, Role: role, Position: position, Final: code == OK, Elapsed: 50 * ms})
 }
 
-// sentToPrimary makes strong reads until n of them are in flight at p.
+// sentToPrimary sends strong reads until n of them are in flight at p, and returns their IDs.
 func (g *harness) sentToPrimary(n int) (ids []string) {
 	g.t.Helper()
 	for range 40 {
-		id, as := g.request(strongRead, RequestArrived{})
-		if _, to := actionsOf(ActSend, as); to == "p" {
+		id, actions := g.request(strongRead, RequestArrived{})
+		if _, to := actionsOf(ActSend, actions); to == "p" {
 			if ids = append(ids, id); len(ids) == n {
 				return ids
 			}
--- a/routing/probes_test.go
+++ b/routing/probes_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// When every member errs at times, bounded reads still ask for positions and go on by the draw.
+// When all members are outliers, bounded reads still probe for positions and are sent to a member that reports one.
 func TestPositionsAreProbedThoughAllAreOutliers(t *testing.T) {
 	s := settings()
 	s.RouterCount = 300
@@ -15,45 +15,46 @@
 		g.c.recordScore(m, faultScore)
 		g.c.recordScore(m, faultScore)
 	}
-	_, as := g.request(boundedRead, RequestArrived{})
-	found, host := actionsOf(ActProbe, as)
+	_, actions := g.request(boundedRead, RequestArrived{})
+	found, host := actionsOf(ActProbe, actions)
 	if len(found) == 0 {
-		t.Fatalf("with all in doubt a bounded read led to %v", as)
+		t.Fatalf("with all members outliers a bounded read led to %v", actions)
 	}
 	if sent, to := actionsOf(ActSend, g.reportPositions(Replica, 0, host)); len(sent) != 1 || to != host {
 		t.Errorf("after %s showed its position: %v", host, sent)
 	}
 }
 
-// Probes are rationed by what they cost where the primary can step in. Where it is unknown or suspect a read that
-// waits in vain costs more, and the answers find the new primary.
+// Where the primary can serve a read, probes are limited by a budget, because they cost something. Where the primary is
+// unknown or suspect, a read that waits in vain costs more, and the probes' answers find the new primary.
 func TestReadsProbePastTheBudgetWithoutAPrimary(t *testing.T) {
 	s := settings()
 	s.RouterCount, s.Probing.Cost = 80, 0.04
 	g := startHarness(t, s, shard()...)
 	g.c.probeBudget = 0
-	_, as := g.request(boundedRead, RequestArrived{})
-	require.Equal(t, ActSend, as[0].Kind, "the primary steps in")
+	_, actions := g.request(boundedRead, RequestArrived{})
+	require.Equal(t, ActSend, actions[0].Kind, "the primary steps in")
 	g.step(TargetsChanged{Targets: []Target{{Host: "p", Group: 1, Draining: true}}})
 	g.c.probeBudget = 0
-	id, as := g.request(boundedRead, RequestArrived{})
-	require.Equal(t, ActProbe, as[0].Kind)
-	as = g.reportPositions(Primary, 0, as[0].Host)
-	sends, host := actionsOf(ActSend, as)
+	id, actions := g.request(boundedRead, RequestArrived{})
+	require.Equal(t, ActProbe, actions[0].Kind)
+	actions = g.reportPositions(Primary, 0, actions[0].Host)
+	sends, host := actionsOf(ActSend, actions)
 	require.Len(t, sends, 1)
 	require.Equal(t, id, sends[0].ID)
 	require.Equal(t, g.c.groups[1].primary().host, host)
 }
 
-// A probe of a replica that was seconds behind a moment ago buys nothing: it goes to one that kept pace, or the primary
-// serves at once. One that may have caught up is asked again, and so are all where there is no primary to fall back on.
+// A replica that was seconds behind a moment ago is not probed, because it can't qualify: the probe goes to one that kept
+// pace, or the primary serves the read at once. A replica that may have caught up is probed again, and so is any if there
+// is no primary to fall back on.
 func TestReplicasThatCannotHaveCaughtUpAreNotProbed(t *testing.T) {
 	s := settings()
 	s.RouterCount = 80
 	probed := func(g *harness) (hosts []string) {
 		g.c.probeBudget = 10
-		_, as := g.request(boundedRead, RequestArrived{})
-		for _, a := range as {
+		_, actions := g.request(boundedRead, RequestArrived{})
+		for _, a := range actions {
 			if a.Kind == ActProbe {
 				hosts = append(hosts, a.Host)
 			}
@@ -89,7 +90,8 @@
 	require.Len(t, probed(g), 1, "no primary: whoever answers may name it")
 }
 
-// A probe that never left for want of a connection here counts for nothing; one that the host failed counts against it.
+// A probe that this router could not send for lack of a connection doesn't change a host's score; one that the host
+// failed raises it.
 func TestUnsentProbeIsNoEvidence(t *testing.T) {
 	for code, counts := range map[Code]bool{NotSent: false, NoConnection: true, NoAnswer: true, ServerError: true} {
 		g := startHarness(t, settings(), shard()...)
--- a/routing/simulation_test.go
+++ b/routing/simulation_test.go
@@ -15,12 +15,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// scheduledEvent is an event that comes to a router at its time.
+// scheduledEvent is an event that is delivered to a router at a set time.
 type scheduledEvent struct {
 	at          time.Duration
-	order       int // at par, in the order in which they were caused
+	order       int // events of the same time are delivered in the order in which they were scheduled
 	router      int
-	incarnation int // of the router: what was meant for an earlier one is void
+	incarnation int // of the router: events for an earlier one are dropped
 	event       Event
 }
 
@@ -49,60 +49,61 @@
 	simulatedRate    = 3000.0
 	answerTime       = 20 * ms
 	probeTime        = 2 * ms
-	probeWork        = 0.02 // of a request's, in these tests: sites name about a hundredth
+	probeWork        = 0.02 // the work of a probe, as a fraction of a request's; sites state about a hundredth
 	measuredWindow   = 100 * ms
 	measuredSlot     = 10 * ms
-	overloadWindow   = 1500 * ms // for which a cold host stands more than it can bear, as settings name it
+	overloadWindow   = 1500 * ms // how long a warming host withstands an overload, as in the settings
 )
 
-// fleetSimulation is a whole fleet on one test clock: it plays requests, hosts that answer after a while and the connections that
-// sends need, and counts what all routers together do in each short while.
+// fleetSimulation simulates a whole fleet on one test clock: client requests, hosts that answer after some time and the
+// connections that sends need. It counts what all routers together do in each measuredSlot.
 type fleetSimulation struct {
 	t             testing.TB
 	cfg           Settings
 	routers       []*Router
 	incarnations  []int
-	shares        []float64 // of what comes in, of the routers so far
+	shares        []float64 // cumulative shares of the routers in the requests
 	now           time.Duration
 	lastOrder     int
 	queue         eventQueue
 	rng           *rand.Rand
 	list          map[string]Target
 	down          map[string]bool          // connections to them are refused
-	broken        map[string]bool          // connections to them can't be made, though they are listed and look well
-	answerTimes   map[string]time.Duration // for an answer, where it is not answerTime
-	lag           map[string]time.Duration // of a replica's data
+	broken        map[string]bool          // connections to them can't be made, though they are listed as usual
+	answerTimes   map[string]time.Duration // of hosts whose answers do not take answerTime
+	lag           map[string]time.Duration // how far a replica's data is behind
 	idle          map[[2]string]int
 	requests      map[string]*clientRequest
-	counted       map[string]map[time.Duration]float64 // what, by slot
+	counted       map[string]map[time.Duration]float64 // counts by name and time slot
 	rejected      int
 	arrived       int
 	rate          float64 // requests a second
-	baseRate      float64 // the rate at which a replica's part of a group's requests is what a warm host bears
+	baseRate      float64 // the rate at which a replica's share of a group's requests is what a warm host bears
 	groups        int
 	replicas      int                // of each group
-	speeds        map[string]float64 // of hosts whose capacity is not the usual one, as a part of that
-	mix           []float64          // of the classes, of ten
-	clientRetries int                // times that a client comes again after a refusal
-	marksRetries  bool               // it says so
+	speeds        map[string]float64 // of hosts whose capacity is not the usual one, as a fraction of that
+	mix           []float64          // weight of each class among the requests
+	clientRetries int                // how often a client retries after a rejection
+	marksRetries  bool               // clients mark their retries as such
 }
 
 // clientRequest is a client's request.
 type clientRequest struct {
 	class, group, router, attempts, retries int
-	until                                   time.Duration
+	deadline                                time.Duration
 }
 
 func newFleetSimulation(t testing.TB) *fleetSimulation {
 	return newFleetSimulationOf(t, simulatedRouters, simulatedGroups, 9, nil)
 }
 
-// newFleetSimulationOf has routers of equal shares, unless a share is given for each. What a group is asked is the same in each crowd.
+// newFleetSimulationOf simulates routers with equal shares of the requests, unless share gives the share of each. The
+// request rate of a group does not depend on the number of routers.
 func newFleetSimulationOf(t testing.TB, routers, groups int, seed uint64, share func(router int) float64) *fleetSimulation {
 	return newFleetSimulationWith(t, routers, groups, usualReplicas, seed, share)
 }
 
-// newFleetSimulationWith has groups of a primary and so many replicas.
+// newFleetSimulationWith simulates groups of a primary and the given number of replicas.
 func newFleetSimulationWith(t testing.TB, routers, groups, replicas int, seed uint64, share func(router int) float64) *fleetSimulation {
 	w := &fleetSimulation{
 		replicas: replicas, speeds: map[string]float64{},
@@ -138,14 +139,15 @@
 	return w
 }
 
-// sample draws one of the shares that add up as given.
-func (w *fleetSimulation) sample(sums []float64) int {
+// draw returns a random index, weighted by shares that are given as cumulative sums.
+func (w *fleetSimulation) draw(sums []float64) int {
 	x := w.rng.Float64() * sums[len(sums)-1]
 	return sort.Search(len(sums)-1, func(i int) bool { return x < sums[i] })
 }
 
-// restart begins a router anew, with the list as it is now or an older one. Clients of what it had come again elsewhere.
-func (w *fleetSimulation) restart(router int, known []Target) {
+// restartRouter replaces a router by a new one, which gets the present endpoint list or an older one. The clients of its
+// pending requests retry at random routers.
+func (w *fleetSimulation) restartRouter(router int, known []Target) {
 	w.cfg.RouterIndex = router
 	c, err := New(w.cfg, uint64(w.lastOrder))
 	require.NoError(w.t, err)
@@ -154,18 +156,18 @@
 	if known == nil {
 		known = w.entries()
 	}
-	w.later(0, router, TargetsChanged{Full: true, Targets: known})
+	w.schedule(0, router, TargetsChanged{Full: true, Targets: known})
 	for _, id := range slices.Sorted(maps.Keys(w.requests)) {
 		if q := w.requests[id]; q.router == router {
 			delete(w.requests, id)
 			if q.class != atMostOnceWrite {
-				w.arrive(ms, w.sample(w.shares), q)
+				w.arrive(ms, w.draw(w.shares), q)
 			}
 		}
 	}
 }
 
-// entries is the list as discovery has it.
+// entries returns the endpoint list as discovery has it.
 func (w *fleetSimulation) entries() (all []Target) {
 	for _, h := range slices.Sorted(maps.Keys(w.list)) {
 		if !w.list[h].Removed {
@@ -175,41 +177,41 @@
 	return all
 }
 
-// arrive is a request that arrives.
+// arrive schedules the arrival of a request at a router.
 func (w *fleetSimulation) arrive(after time.Duration, router int, q *clientRequest) {
 	w.arrived++
 	id := fmt.Sprint("q", w.arrived)
-	left := q.until - w.now - after
+	left := q.deadline - w.now - after
 	if left <= 0 {
 		return
 	}
 	next := *q
 	next.router, next.attempts = router, 0
 	w.requests[id] = &next
-	w.later(after, router, RequestArrived{
+	w.schedule(after, router, RequestArrived{
 		ID: id, Class: q.class, Group: uint64(q.group), TimeRemaining: left,
 		IsRetry: q.retries > 0 && w.marksRetries,
 	})
 }
 
-// announce gives all routers entries of the list.
+// announce sends entries of the endpoint list to all routers.
 func (w *fleetSimulation) announce(entries ...Target) {
 	w.announceLate(func(int) time.Duration { return 0 }, entries...)
 }
 
-// announceLate gives entries to each router so much later; below 0: never.
+// announceLate sends entries of the endpoint list to each router after the delay that late returns; below 0: never.
 func (w *fleetSimulation) announceLate(late func(router int) time.Duration, entries ...Target) {
 	for _, e := range entries {
 		w.list[e.Host] = e
 	}
 	for i := range w.routers {
 		if after := late(i); after >= 0 {
-			w.later(after, i, TargetsChanged{Targets: entries})
+			w.schedule(after, i, TargetsChanged{Targets: entries})
 		}
 	}
 }
 
-func (w *fleetSimulation) later(after time.Duration, router int, e Event) {
+func (w *fleetSimulation) schedule(after time.Duration, router int, e Event) {
 	w.lastOrder++
 	heap.Push(&w.queue, scheduledEvent{w.now + after, w.lastOrder, router, w.incarnations[router], e})
 }
@@ -221,7 +223,7 @@
 	w.counted[what][w.now/measuredSlot] += n
 }
 
-// peak is the largest count within any window since a moment, to the slot.
+// peak returns the largest count in any measuredWindow since a time.
 func (w *fleetSimulation) peak(what string, since time.Duration) (n int) {
 	for at := since / measuredSlot; at <= w.now/measuredSlot; at++ {
 		sum := 0.0
@@ -233,7 +235,7 @@
 	return n
 }
 
-// play lets requests come, drawn over routers, groups and classes.
+// play runs the simulation for a time, with requests drawn at random over routers, groups and classes.
 func (w *fleetSimulation) play(d time.Duration) {
 	end := w.now + d
 	var classes []float64
@@ -243,10 +245,10 @@
 		classes = append(classes, sum)
 	}
 	for at := w.now; at < end; at += time.Duration(w.rng.ExpFloat64() / w.rate * float64(time.Second)) {
-		class := w.sample(classes)
-		w.arrive(at-w.now, w.sample(w.shares), &clientRequest{
+		class := w.draw(classes)
+		w.arrive(at-w.now, w.draw(w.shares), &clientRequest{
 			class: class, group: 1 + w.rng.IntN(w.groups),
-			until: at + w.cfg.Classes[class].Deadline,
+			deadline: at + w.cfg.Classes[class].Deadline,
 		})
 	}
 	for len(w.queue) > 0 && w.queue[0].at < end {
@@ -260,36 +262,36 @@
 			delete(w.requests, ended.ID)
 		}
 		for _, a := range append([]Action(nil), w.routers[x.router].Step(w.now, proven([]Event{x.event}))...) {
-			w.carryOut(x.router, a)
+			w.execute(x.router, a)
 		}
 	}
 	w.now = end
 }
 
-func (w *fleetSimulation) carryOut(router int, a Action) {
+func (w *fleetSimulation) execute(router int, a Action) {
 	switch a.Kind {
 	case ActTimer:
-		w.later(a.At-w.now, router, TimerFired{})
+		w.schedule(a.At-w.now, router, TimerFired{})
 	case ActReject, ActFail:
 		w.rejected++
 		w.count("refused", 1)
 		if q := w.requests[a.ID]; q != nil && a.Kind == ActReject && q.retries < w.clientRetries {
 			q.retries++
-			w.arrive(50*ms, router, q) // clients heed no word on when to come back
+			w.arrive(50*ms, router, q) // clients ignore the Retry-After
 		}
 		delete(w.requests, a.ID)
 	case ActProbe:
 		w.count("probes", 1)
-		w.work(router, a.Host, probeWork)
+		w.countWork(router, a.Host, probeWork)
 		e := ProbeEnded{Host: a.Host, Report: Report{Position: w.now - w.lag[a.Host], Role: w.role(a.Host)}}
 		if w.down[a.Host] || w.broken[a.Host] {
 			e.Code, e.Report = NoConnection, Report{}
 		}
-		w.later(probeTime, router, e)
+		w.schedule(probeTime, router, e)
 	case ActSend:
 		m, q := w.list[a.Host], w.requests[a.ID]
 		require.False(w.t, m.Removed || m.Draining, "work for %s, which has left", a.Host)
-		w.work(router, a.Host, 1)
+		w.countWork(router, a.Host, 1)
 		if w.isWarming(router, a.Host) {
 			w.count("cold", 1)
 			w.count("cold "+a.Host, 1)
@@ -310,18 +312,18 @@
 		} else if w.cfg.Classes[q.class].Access == Write && e.Role != Primary {
 			e.Code, e.Final, e.Elapsed = Misdirected, false, ms
 		}
-		w.later(e.Elapsed, router, e)
+		w.schedule(e.Elapsed, router, e)
 	}
 }
 
-// isWarming says whether a router knows that a host started not long ago.
+// isWarming reports whether a router knows that a host is in slow start.
 func (w *fleetSimulation) isWarming(router int, host string) bool {
 	m := w.routers[router].members[host]
 	return m.startedAt > 0 && w.now-m.startedAt < w.cfg.SlowStart.Duration
 }
 
-// work counts what reaches a host, and apart what comes from routers that don't know of its start.
-func (w *fleetSimulation) work(router int, host string, n float64) {
+// countWork counts the work that reaches a host, and separately the part from routers that don't know of its start.
+func (w *fleetSimulation) countWork(router int, host string, n float64) {
 	w.count("work "+host, n)
 	if w.routers[router].members[host].startedAt < w.list[host].StartedAt {
 		w.count("untold "+host, n)
@@ -335,30 +337,31 @@
 	return Replica
 }
 
-// upperBound is what a mean count may come to: four times its deviation lies above it.
+// upperBound returns the limit for a count of a given mean: four standard deviations above it.
 func upperBound(mean float64) int { return int(math.Ceil(mean + 4*math.Sqrt(mean))) }
 
-// requireBounds holds all that the fleet did since a moment to what the settings and the requests allow in any 100 ms.
-// started is how many hosts are cold since then. Where no primary can step in, reads ask past their ration of probes: not rationed.
+// requireBounds requires that what the fleet did since a time stays within what the settings and the requests allow in any
+// 100 ms. started is the number of hosts that started at that time. rationed tells whether the probe budget limits probes:
+// it does not where no primary can serve the reads instead.
 func (w *fleetSimulation) requireBounds(what string, since time.Duration, started int, rationed bool) {
 	w.t.Helper()
 	const arrive = simulatedRate * float64(measuredWindow) / float64(time.Second)
 	s := &w.routers[0].cfg
-	most := upperBound(arrive * (1 + retryBudgetRatio)) // one for each attempt, where each needs a new one
+	most := upperBound(arrive * (1 + retryBudgetRatio)) // one for each attempt, if each needs a new connection
 	require.LessOrEqual(w.t, w.peak("connects", since), most, "%s: connects in 100 ms", what)
 	for h := range w.list {
 		require.LessOrEqual(w.t, w.peak("connects "+h, since), upperBound(arrive/simulatedGroups*(1+retryBudgetRatio)),
 			"%s: connects at %s: its group's requests alone lead there", what, h)
 	}
-	probes := upperBound(2 * arrive) // two a read are enough to find one that qualifies
+	probes := upperBound(2 * arrive) // two per read are enough to find a replica that qualifies
 	if rationed {
-		probes = upperBound(0.02 / s.Probing.Cost * arrive) // they cost a fiftieth of the result at the most
+		probes = upperBound(0.02 / s.Probing.Cost * arrive) // they cost at most a fiftieth of the result
 	}
 	require.LessOrEqual(w.t, w.peak("probes", since), probes, "%s: probes in 100 ms", what)
 	if started == 0 {
 		return
 	}
-	// A warm host stands its part of its group's requests; a cold one its share of that, times the factor of the rule.
+	// A warm host bears its share of its group's requests; a warming one a fraction of that, times the overload factor.
 	for at := since; at < min(w.now, since+s.SlowStart.Duration/2); at += measuredWindow {
 		share := s.SlowStart.Floor + (1-s.SlowStart.Floor)*float64(at+measuredWindow-since)/float64(s.SlowStart.Duration)
 		stands := s.SlowStart.OverloadFactor * share * arrive / simulatedGroups / 3 * float64(started)
@@ -370,12 +373,13 @@
 	}
 }
 
-// worstOverload is the most that a host which started since a moment was sent, as a share of what it stands: in any fall time,
-// whatever of it it turned away, N requests of mean work, twice their root for chance, and two. N is the multiple that the
-// settings allow, of the capacity that it is sure to have when that time begins; a warm host's is no less than the load that
-// such hosts bear, a replica's part of what a group is asked when nobody has to come again. What came to two thirds or more
-// from routers that were not told is nobody's fault.
-func (w *fleetSimulation) worstOverload(since time.Duration) (worst, told float64, hosts int) {
+// worstOverload returns the largest load of any host that started since a time, as a fraction of what the host withstands.
+// The load is what the host was sent in any overload window, including what it rejected. It withstands N requests of mean
+// work, plus twice the root of N for chance, plus two. N is the multiple that the settings allow of the capacity that the
+// host surely has when that window begins. The capacity of a warm host is a replica's share of the requests for its group
+// while no client has to retry. worstInformed leaves out the windows in which two thirds or more of the work came from
+// routers that had not been told of the host's start.
+func (w *fleetSimulation) worstOverload(since time.Duration) (worst, worstInformed float64, hosts int) {
 	s := &w.cfg
 	for h, e := range w.list {
 		if e.StartedAt < since || e.Removed {
@@ -402,30 +406,30 @@
 			over := sum / (allowed + 2*math.Sqrt(allowed) + 2)
 			worst = max(worst, over)
 			if sum-untold > sum*2/3 {
-				told = max(told, over)
+				worstInformed = max(worstInformed, over)
 			}
 		}
 	}
-	return worst, told, hosts
+	return worst, worstInformed, hosts
 }
 
-// capacity is the requests a second that a host stands once it is warm.
+// capacity returns the requests a second that a host bears once it is warm.
 func (w *fleetSimulation) capacity(host string) float64 {
 	return w.baseRate / float64(w.groups) / float64(w.replicas) * cmp.Or(w.speeds[host], 1)
 }
 
-// requireCapacity holds each host that started since a moment to what it stands.
+// requireCapacity requires that no host that started since a time was sent more than it withstands.
 func (w *fleetSimulation) requireCapacity(what string, since time.Duration) {
 	w.t.Helper()
 	_, worst, n := w.worstOverload(since)
 	require.Positive(w.t, n, "%s: hosts started", what)
 	require.Positive(w.t, worst, "%s: cold hosts take their part", what)
-	w.t.Logf("%s: a cold host was sent %.0f%% of what it stands in %v, at the most; refused: %.0f%%", what, 100*worst, overloadWindow,
+	w.t.Logf("%s: a warming host was sent at most %.0f%% of what it withstands in %v; rejected: %.0f%%", what, 100*worst, overloadWindow,
 		100*float64(w.rejected)/float64(w.arrived))
 	require.LessOrEqual(w.t, worst, 1.0, what)
 }
 
-// hosts names some members of all groups.
+// hosts returns the names of the members with these numbers in all groups; number 0 is the initial primary.
 func (w *fleetSimulation) hosts(numbers ...int) (names []string) {
 	for g := range w.groups {
 		for _, i := range numbers {
@@ -435,9 +439,9 @@
 	return names
 }
 
-func atOnce(int) time.Duration { return 0 }
+func withoutDelay(int) time.Duration { return 0 }
 
-// drain lists hosts as draining.
+// drain announces hosts as draining.
 func (w *fleetSimulation) drain(hosts ...string) {
 	var entries []Target
 	for _, h := range hosts {
@@ -448,7 +452,7 @@
 	w.announce(entries...)
 }
 
-// add has hosts of other names join, each in the group of one that is there.
+// add announces a new host for each given host, in the same group.
 func (w *fleetSimulation) add(beside ...string) {
 	var entries []Target
 	for _, h := range beside {
@@ -457,7 +461,7 @@
 	w.announce(entries...)
 }
 
-// promote makes one host of each group its primary; the one that was becomes a replica.
+// promote makes each host the primary of its group; the previous primary becomes a replica.
 func (w *fleetSimulation) promote(hosts ...string) {
 	var entries []Target
 	for _, h := range hosts {
@@ -474,15 +478,15 @@
 	w.announce(entries...)
 }
 
-// slow gives hosts a part of the usual capacity.
-func (w *fleetSimulation) slow(speed float64, hosts ...string) {
+// setSpeed gives hosts a fraction of the usual capacity.
+func (w *fleetSimulation) setSpeed(speed float64, hosts ...string) {
 	for _, h := range hosts {
 		w.speeds[h] = speed
 	}
 }
 
-// start begins hosts anew, whether or not they were down.
-func (w *fleetSimulation) start(late func(router int) time.Duration, hosts ...string) {
+// startHosts announces a new start of hosts, whether or not they were down.
+func (w *fleetSimulation) startHosts(late func(router int) time.Duration, hosts ...string) {
 	var entries []Target
 	for _, h := range hosts {
 		delete(w.down, h)
@@ -493,16 +497,16 @@
 	w.announceLate(late, entries...)
 }
 
-// bounce takes hosts down for a while first.
-func (w *fleetSimulation) bounce(d time.Duration, hosts ...string) {
+// restartHosts takes hosts down for a time and then starts them.
+func (w *fleetSimulation) restartHosts(d time.Duration, hosts ...string) {
 	for _, h := range hosts {
 		w.down[h] = true
 	}
 	w.play(d)
-	w.start(atOnce, hosts...)
+	w.startHosts(withoutDelay, hosts...)
 }
 
-// lagBehind gives hosts data that is too old for bounded reads.
+// lagBehind makes the data of hosts too old for bounded reads.
 func (w *fleetSimulation) lagBehind(hosts ...string) {
 	for _, h := range hosts {
 		w.lag[h] = 20 * time.Second
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -7,11 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A host is chosen, its connection takes a second to come up, and meanwhile it came back from a restart: what had been
-// chosen while it was warm was written all the same. With 300 routers, 99 of 99 attempts that were chosen for a replica
-// before the list told of its new start were let through right after it, a whole fleet's worth at a host that had a fifth of
-// its capacity.
-func TestWhatWasChosenForAWarmHostIsAskedAgainOnceItWarmsUp(t *testing.T) {
+// An attempt may wait a second for its connection, and its host may restart meanwhile. The attempt must then pass slow
+// start again before it is written. Without that check, 99 of 99 attempts by 300 routers that were chosen for a replica
+// before the list told of its new start were written right after it, to a host that had a fifth of its capacity.
+func TestWaitingAttemptsAreRevalidatedWhenTheirHostRestarts(t *testing.T) {
 	f := newFleet(t, 300, shard())
 	type chosen struct {
 		router *Router
@@ -21,8 +20,8 @@
 	for _, c := range f.routers {
 		f.now += ms
 		id := "waits"
-		as := c.Step(f.now, []Event{RequestArrived{ID: id, Class: eventualRead, Group: 1, TimeRemaining: 2 * time.Second}})
-		if _, host := actionsOf(ActSend, as); host == "a" {
+		actions := c.Step(f.now, []Event{RequestArrived{ID: id, Class: eventualRead, Group: 1, TimeRemaining: 2 * time.Second}})
+		if _, host := actionsOf(ActSend, actions); host == "a" {
 			waiting = append(waiting, chosen{c, id})
 		}
 	}
