--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -37,7 +37,8 @@
 	}
 }
 
-// A client that disconnects early has waited too long, so its pending attempt lowers the member's in-flight limit.
+// A client that disconnects early has waited too long, so its pending attempt lowers the member's in-flight
+// limit.
 func TestDisconnectingClientsLowerTheLimit(t *testing.T) {
 	g := startHarness(t, settings(), shard()[:1]...)
 	m := g.c.members["p"]
@@ -65,8 +66,8 @@
 	}
 }
 
-// A group whose answers are late is shed, but only if many routers share it. Lost attempts along with quick answers, as
-// when one host hangs, don't cause shedding.
+// A group whose answers are late is shed, but only if many routers share it. Lost attempts along with quick
+// answers, as when one host hangs, don't cause shedding.
 func TestShedding(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
--- a/routing/bounds_test.go
+++ b/routing/bounds_test.go
@@ -11,8 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What one pooler does may be harmless while what 300 do at the same time is not. The test plays 120 hosts, a start of all
-// poolers, the replacement of six in ten hosts, and the loss of a third of the groups, whose hosts come back as warming ones.
+// What one pooler does may be harmless while what 300 do at the same time is not. The test plays 120 hosts, a
+// start of all poolers, the replacement of six in ten hosts, and the loss of a third of the groups, whose
+// hosts come back as warming ones.
 func TestFleetStaysWithinItsBounds(t *testing.T) {
 	w := newFleetSimulation(t)
 	from := w.now
@@ -32,7 +33,7 @@
 	w.announce(change...)
 	w.play(6 * time.Second)
 	w.requireBounds("six in ten replaced", from, len(change)/2, false)
-	require.Positive(t, w.peak("cold", from), "cold hosts take their part")
+	require.Positive(t, w.peak("cold", from), "warming hosts get some of the work")
 
 	w.play(6 * time.Second) // after this they are warm
 	w.requireCapacity("six in ten replaced", from)
@@ -107,7 +108,8 @@
 		w.clientRetries, w.marksRetries = 2, true
 		w.restartHosts(4*time.Second, w.hosts(0, 1, 2, 3)...)
 	}},
-	// Clients retry only rejected requests, so no more is sent than they want; at the full load that would be twice N.
+	// Clients retry only rejected requests, so no more is sent than they want; at the full load that would be
+	// twice N.
 	{"the whole group at six tenths of the load, clients come again unmarked", 0, func(w *fleetSimulation) {
 		w.rate, w.clientRetries = w.rate*0.6, 2
 		w.restartHosts(4*time.Second, w.hosts(0, 1, 2, 3)...)
@@ -234,8 +236,8 @@
 		w.promote(w.hosts(2)...)
 		w.drain(w.hosts(0)...)
 	}},
-	// As in the operators' second run: a release replaces the other members of the group in steps of 4.29 s, and the warming
-	// host becomes the primary.
+	// As in the operators' second run: a release replaces the other members of the group in steps of 4.29 s,
+	// and the warming host becomes the primary.
 	{"a release by steps", 3, 0.5, 1, func(w *fleetSimulation) {
 		for _, i := range []int{2, 3} {
 			w.drain(w.hosts(i)...)
@@ -258,7 +260,8 @@
 	surge(w, 2.5)
 }
 
-// changesAround returns scenarios that play each of memberScenarios at two times after the start of the warming replica.
+// changesAround returns scenarios that play each of memberScenarios at two times after the start of the
+// warming replica.
 func changesAround() (all []slowStartScenario) {
 	for _, tc := range memberScenarios {
 		for _, after := range []time.Duration{1500 * ms, 4500 * ms} {
@@ -280,13 +283,15 @@
 
 func uneven(i int) float64 { return 1 + 4*float64(i%5/4) } // one in five routers gets five times as many requests as the others
 
-// A warming host fails under the sum of what all routers send it. Probes, retries and requests that it rejects count.
+// A warming host fails under the sum of what all routers send it. Probes, retries and requests that it
+// rejects count.
 //
-// In two pre-production runs a host that had started 7.3 and 8.6 s before, in the middle of its slow start, failed under the
-// load of 219 and 176 poolers, each of which kept to its share. The share was the group's load divided by the number of
-// replicas on the list at that moment. It grew at once while a release drained the other replicas and a hot key raised the
-// load of the group, but what the host could bear did not grow. In this simulation, 219 routers sent such a host 1.2 to 2.6
-// times what it withstands, and 0.4 to 0.8 times where nothing else changed.
+// In two pre-production runs a host that had started 7.3 and 8.6 s before, in the middle of its slow start,
+// failed under the load of 219 and 176 poolers, each of which kept to its share. The share was the group's
+// load divided by the number of replicas on the list at that moment. It grew at once while a release drained
+// the other replicas and a hot key raised the load of the group, but what the host could bear did not grow.
+// In this simulation, 219 routers sent such a host 1.2 to 2.6 times what it withstands, and 0.4 to 0.8 times
+// where nothing else changed.
 func TestWarmingHostsBearWhatAllRoutersSend(t *testing.T) {
 	for _, tc := range []struct {
 		routers int
--- a/routing/dedup_test.go
+++ b/routing/dedup_test.go
@@ -34,14 +34,16 @@
 	t.Error("no final answer")
 }
 
-// windowed returns settings in which the deduplicated class has a dedup window of one second, and a deadline far beyond it.
+// windowed returns settings in which the deduplicated class has a dedup window of one second, and a deadline
+// far beyond it.
 func windowed(scope DedupScope) Settings {
 	s := settings()
 	s.Classes[deduplicatedWrite].Scope, s.Classes[deduplicatedWrite].DedupWindow = scope, time.Second
 	return s
 }
 
-// A retry starts only if it can end within the dedup window: at least the latency of its class before the window ends.
+// A retry starts only if it can end within the dedup window: at least the latency of its class before the
+// window ends.
 func TestRetryStartsOnlyIfItCanEndInItsDedupWindow(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -71,8 +73,8 @@
 	}
 }
 
-// The dedup window is checked again when an attempt is about to be written: a retry that was chosen within the window
-// but whose connection came up too late is not sent. A first attempt has no window.
+// The dedup window is checked again when an attempt is about to be written: a retry that was chosen within
+// the window but whose connection came up too late is not sent. A first attempt has no window.
 func TestDedupWindowIsCheckedAtTheWrite(t *testing.T) {
 	g := startHarness(t, windowed(ScopeCell), shard()...)
 	first, _ := g.request(deduplicatedWrite, RequestArrived{})
@@ -96,7 +98,8 @@
 	}
 }
 
-// A retry that still waits in the host's queue when the dedup window ends must not run, so its timeout ends before that.
+// A retry that still waits in the host's queue when the dedup window ends must not run, so its timeout ends
+// before that.
 func TestRetryTimesOutAtTheEndOfItsDedupWindow(t *testing.T) {
 	g := startHarness(t, windowed(ScopeAll), shard()...)
 	_, actions := g.request(deduplicatedWrite, RequestArrived{})
@@ -111,8 +114,8 @@
 	}
 }
 
-// The dedup window starts with the first attempt that may have run, not with an earlier one that certainly didn't run.
-// By the scope in which repeats are discarded, the request is then retried, rejected or failed.
+// The dedup window starts with the first attempt that may have run, not with an earlier one that certainly
+// didn't run. By the scope in which repeats are discarded, the request is then retried, rejected or failed.
 func TestFinalAnswerAfterAnAttemptThatMayHaveRun(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -124,13 +127,13 @@
 	}{
 		{"cell, inside", deduplicatedWrite, ScopeCell, 100 * ms, ServerError, ActSend},
 		{"cell, past", deduplicatedWrite, ScopeCell, 1200 * ms, ServerError, ActFail},
-		{"zone, inside: whose zone it ran in is not told", deduplicatedWrite, ScopeZone, 100 * ms, ServerError, ActFail},
+		{"zone, inside: the zone in which it ran is not known", deduplicatedWrite, ScopeZone, 100 * ms, ServerError, ActFail},
 		{"all, inside", deduplicatedWrite, ScopeAll, 100 * ms, ServerError, ActSend},
-		{"all, past: its client may repeat it", deduplicatedWrite, ScopeAll, 1200 * ms, ServerError, ActReject},
-		{"at most once, spoilt", atMostOnceWrite, ScopeCell, 100 * ms, Malformed, ActFail},
-		{"at most once, lost", atMostOnceWrite, ScopeCell, 100 * ms, ConnectionLost, ActFail},
-		{"at most once, given up", atMostOnceWrite, ScopeCell, 100 * ms, Cancelled, ActFail},
-		{"at most once, turned away", atMostOnceWrite, ScopeCell, 100 * ms, Misdirected, ActSend},
+		{"all, past: its client may retry it", deduplicatedWrite, ScopeAll, 1200 * ms, ServerError, ActReject},
+		{"at most once, malformed answer", atMostOnceWrite, ScopeCell, 100 * ms, Malformed, ActFail},
+		{"at most once, connection lost", atMostOnceWrite, ScopeCell, 100 * ms, ConnectionLost, ActFail},
+		{"at most once, cancelled", atMostOnceWrite, ScopeCell, 100 * ms, Cancelled, ActFail},
+		{"at most once, misdirected", atMostOnceWrite, ScopeCell, 100 * ms, Misdirected, ActSend},
 	} {
 		g := startHarness(t, windowed(tc.scope), shard()...)
 		id, _ := g.request(tc.class, RequestArrived{})
--- a/routing/evidence_test.go
+++ b/routing/evidence_test.go
@@ -7,9 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Evidence from hosts and endpoint lists arrives in no particular order: connections are independent, so are the goroutines
-// that report, and a connection that was silent may deliver old answers. A role is therefore dated with care: the role of
-// replica counts from now on, the role of primary only as of the position in the host's answer.
+// Evidence from hosts and endpoint lists arrives in no particular order: connections are independent, so are
+// the goroutines that report, and a connection that was silent may deliver old answers. A role is therefore
+// dated with care: the role of replica counts from now on, the role of primary only as of the position in the
+// host's answer.
 
 func TestAnswerFromBeforeAFailoverMakesNoPrimary(t *testing.T) {
 	for _, order := range []string{"as they were written", "the other way round"} {
@@ -76,8 +77,8 @@
 	require.Equal(t, "p", g.c.groups[1].primary().host)
 }
 
-// A position ahead of the clock is garbled and proves nothing. The role that comes with it counts only if it is that of a
-// replica, which makes the router more careful.
+// A position ahead of the clock is garbled and proves nothing. The role that comes with it counts only if it
+// is that of a replica, which makes the router more careful.
 func TestGarbledPositionStillReportsAReplica(t *testing.T) {
 	g := startHarness(t, settings(), shard()...)
 	ids := g.sentToPrimary(1)
@@ -88,8 +89,8 @@
 	require.Nil(t, g.c.groups[1].primary(), "nor does it make a primary")
 }
 
-// The load report that comes with an answer may be older than the answer, as its position shows; then the answer's role
-// counts.
+// The load report that comes with an answer may be older than the answer, as its position shows; then the
+// answer's role counts.
 func TestRoleOfAnAnswerOverridesItsReport(t *testing.T) {
 	g := startHarness(t, settings(), shard()...)
 	ids := g.sentToPrimary(1)
@@ -101,8 +102,8 @@
 	require.Equal(t, "p", g.c.groups[1].primary().host)
 }
 
-// An attempt that was given up may still be answered. The answer is of no use to the client, but its role and position
-// count as evidence.
+// An attempt that was given up may still be answered. The answer is of no use to the client, but its role and
+// position count as evidence.
 func TestLateAnswerIsEvidence(t *testing.T) {
 	g := startHarness(t, settings(), shard()...)
 	g.reportPositions(Primary, 0, "p")
--- a/routing/fleet_test.go
+++ b/routing/fleet_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// fleet drives hundreds of routers that share a few members. It delivers every event itself; answers determines how an
-// attempt ends.
+// fleet drives hundreds of routers that share a few members. It delivers every event itself; answers
+// determines how an attempt ends.
 type fleet struct {
 	t       testing.TB
 	routers []*Router
@@ -40,7 +40,8 @@
 	}
 }
 
-// execute counts the actions. It answers each send at once, and each probe with a report of the present position.
+// execute counts the actions. It answers each send at once, and each probe with a report of the present
+// position.
 func (f *fleet) execute(c *Router, actions []Action, classes map[string]int) {
 	var events []Event
 	for _, a := range actions {
@@ -89,8 +90,8 @@
 	return OK, Replica, 50 * ms
 }
 
-// All routers together send a warming member only a limited part of the reads, whether or not a warm replica is left and
-// however many routers there are. With four members a warm replica gets a third of the reads.
+// All routers together send a warming member only a limited part of the reads, whether or not a warm replica
+// is left and however many routers there are. With four members a warm replica gets a third of the reads.
 func TestFleetSlowStart(t *testing.T) {
 	for _, routers := range []int{1, 300} {
 		for name, cold := range map[string][]string{"one": {"a"}, "all": {"a", "b", "c"}} {
@@ -113,7 +114,8 @@
 	}
 }
 
-// Replacements get the share of the hosts that they replace: removed members that the routers still remember don't count.
+// Replacements get the share of the hosts that they replace: removed members that the routers still remember
+// don't count.
 func TestFleetSlowStartAfterReplacement(t *testing.T) {
 	for _, routers := range []int{1, 80} {
 		f := newFleet(t, routers, shard())
@@ -131,8 +133,8 @@
 	}
 }
 
-// Writes that were queued at every router while the group was down don't all reach a restarted member at once, whether
-// they search for the primary or know it.
+// Writes that were queued at every router while the group was down don't all reach a restarted member at
+// once, whether they search for the primary or know it.
 func TestFleetReleasesQueuedWritesSlowly(t *testing.T) {
 	hosts := shard()
 	for i := range hosts {
@@ -164,7 +166,8 @@
 	}
 }
 
-// Only reads that need a position send probes, at most maxProbesPerRead each. A router sends none when it starts.
+// Only reads that need a position send probes, at most maxProbesPerRead each. A router sends none when it
+// starts.
 func TestFleetProbes(t *testing.T) {
 	f := newFleet(t, 300, shard())
 	f.answers = answerQuickly
@@ -222,8 +225,8 @@
 	}
 }
 
-// When members are added, they get some of the reads although the routers have connections to others, but no more than
-// their share.
+// When members are added, they get some of the reads although the routers have connections to others, but no
+// more than their share.
 func TestFleetGrowth(t *testing.T) {
 	f := newFleet(t, 200, shard())
 	f.answers = answerQuickly
--- a/routing/groupclock_test.go
+++ b/routing/groupclock_test.go
@@ -14,8 +14,8 @@
 	g.step(ProbeEnded{Host: host, Report: Report{Position: g.now + ahead - lag, Role: role}})
 }
 
-// Positions are compared on the clock of the group's primary. A replica that lags too far on that clock does not qualify,
-// one that doesn't lag so far does, and the primary is still known as such by its own report.
+// Positions are compared on the clock of the group's primary. A replica that lags too far on that clock does
+// not qualify, one that doesn't lag so far does, and the primary is still known as such by its own report.
 func TestPositionsAreComparedOnTheGroupClock(t *testing.T) {
 	for _, behind := range []time.Duration{0, 100 * ms, 2 * time.Second, time.Hour} {
 		g := startHarness(t, settings(), shard()...)
@@ -36,7 +36,8 @@
 	}
 }
 
-// A single garbled report makes reads stricter for a moment at most, and reports of replicas don't change the clock.
+// A single garbled report makes reads stricter for a moment at most, and reports of replicas don't change the
+// clock.
 func TestSingleWrongReportDoesNotShiftTheClock(t *testing.T) {
 	g := startHarness(t, settings(), shard()...)
 	clock := &g.c.groups[1].clock
@@ -44,19 +45,19 @@
 		g.reportAhead("p", Primary, 0, 0)
 	}
 	g.reportAhead("p", Primary, time.Hour, 0)
-	require.Zero(t, clock.lead, "the middle one of three counts")
+	require.Zero(t, clock.lead, "the median of three reports counts")
 	for range 20 {
 		g.reportAhead("a", Replica, time.Hour, 0)
 		g.reportAhead("b", Primary, time.Hour, 0)
 	}
-	require.Zero(t, clock.lead, "only the primary is believed")
+	require.Zero(t, clock.lead, "only reports of the primary count")
 	require.Zero(t, g.c.members["a"].position)
 	require.Equal(t, "p", g.c.groups[1].primary().host)
 
 	g = startHarness(t, settings(), shard()...)
 	clock = &g.c.groups[1].clock
 	g.reportAhead("p", Primary, time.Hour, 0)
-	require.Equal(t, time.Hour, clock.lead, "careful at once")
+	require.Equal(t, time.Hour, clock.lead, "one report raises the lead at once")
 	require.Zero(t, clock.proven)
 	for range 2 {
 		g.reportAhead("p", Primary, 0, 0)
@@ -98,7 +99,8 @@
 	}
 }
 
-// Old reports of a primary can't make slow start last longer than its duration from when the list told of the start.
+// Old reports of a primary can't make slow start last longer than its duration from when the list told of the
+// start.
 func TestOldReportsDoNotProlongSlowStart(t *testing.T) {
 	g := startHarness(t, settings(), shard()...)
 	g.step(TargetsChanged{Targets: []Target{{Host: "a", Group: 1, StartedAt: g.now}}})
@@ -109,8 +111,8 @@
 	require.True(t, math.IsInf(g.c.slowStartRatio(g.c.members["a"]), 1))
 }
 
-// Reports that arrive late, as from a busy machine, make the group's clock look less far ahead. Reads must not get older
-// data because of that.
+// Reports that arrive late, as from a busy machine, make the group's clock look less far ahead. Reads must
+// not get older data because of that.
 func TestLateReportsDoNotLowerTheLead(t *testing.T) {
 	const behind, late = 300 * ms, 60 * ms
 	g := startHarness(t, settings(), shard()...)
@@ -135,7 +137,7 @@
 	for range 2 { // until now the last timely report was among the three
 		g.reportAhead("p", Primary, behind-late, 0)
 	}
-	require.Equal(t, behind-late, clock.lead, "nothing has confirmed it for so long: the clock was set")
+	require.Equal(t, behind-late, clock.lead, "not confirmed for leadRetention: the clock was set")
 	g.reportAhead("p", Primary, behind, 0)
 	g.reportAhead("p", Primary, behind, 0)
 	require.Equal(t, behind, clock.lead, "a greater lead counts at once")
--- a/routing/probes_test.go
+++ b/routing/probes_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// When all members are outliers, bounded reads still probe for positions and are sent to a member that reports one.
+// When all members are outliers, bounded reads still probe for positions and are sent to a member that
+// reports one.
 func TestPositionsAreProbedThoughAllAreOutliers(t *testing.T) {
 	s := settings()
 	s.RouterCount = 300
@@ -25,15 +26,16 @@
 	}
 }
 
-// Where the primary can serve a read, probes are limited by a budget, because they cost something. Where the primary is
-// unknown or suspect, a read that waits in vain costs more, and the probes' answers find the new primary.
+// Where the primary can serve a read, probes are limited by a budget, because they cost something. Where the
+// primary is unknown or suspect, a read that waits in vain costs more, and the probes' answers find the new
+// primary.
 func TestReadsProbePastTheBudgetWithoutAPrimary(t *testing.T) {
 	s := settings()
 	s.RouterCount, s.Probing.Cost = 80, 0.04
 	g := startHarness(t, s, shard()...)
 	g.c.probeBudget = 0
 	_, actions := g.request(boundedRead, RequestArrived{})
-	require.Equal(t, ActSend, actions[0].Kind, "the primary steps in")
+	require.Equal(t, ActSend, actions[0].Kind, "the primary serves the read")
 	g.step(TargetsChanged{Targets: []Target{{Host: "p", Group: 1, Draining: true}}})
 	g.c.probeBudget = 0
 	id, actions := g.request(boundedRead, RequestArrived{})
@@ -45,9 +47,9 @@
 	require.Equal(t, g.c.groups[1].primary().host, host)
 }
 
-// A replica that was seconds behind a moment ago is not probed, because it can't qualify: the probe goes to one that kept
-// pace, or the primary serves the read at once. A replica that may have caught up is probed again, and so is any if there
-// is no primary to fall back on.
+// A replica that was seconds behind a moment ago is not probed, because it can't qualify: the probe goes to
+// one that kept pace, or the primary serves the read at once. A replica that may have caught up is probed
+// again, and so is any if there is no primary to fall back on.
 func TestReplicasThatCannotHaveCaughtUpAreNotProbed(t *testing.T) {
 	s := settings()
 	s.RouterCount = 80
@@ -82,16 +84,16 @@
 	}
 	require.Zero(t, asked["a"], "it was 5 s behind")
 	require.Greater(t, asked["b"], 160, "it kept pace")
-	require.Greater(t, asked["c"], 5, "nothing is known of it; asked now and then, or it would stay so")
+	require.Greater(t, asked["c"], 5, "its position is unknown: probed now and then, or it would stay unknown")
 	g = startHarness(t, s, shard()...)
 	g.reportPositions(Replica, 5*second, "a", "b", "c")
 	g.step(TargetsChanged{Targets: []Target{{Host: "p", Group: 1, Draining: true}}})
 	g.now += second
-	require.Len(t, probed(g), 1, "no primary: whoever answers may name it")
+	require.Len(t, probed(g), 1, "no primary: any answer may help to find it")
 }
 
-// A probe that this router could not send for lack of a connection doesn't change a host's score; one that the host
-// failed raises it.
+// A probe that this router could not send for lack of a connection doesn't change a host's score; one that
+// the host failed raises it.
 func TestUnsentProbeIsNoEvidence(t *testing.T) {
 	for code, counts := range map[Code]bool{NotSent: false, NoConnection: true, NoAnswer: true, ServerError: true} {
 		g := startHarness(t, settings(), shard()...)
--- a/routing/queue_test.go
+++ b/routing/queue_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// A write whose latency objective has passed keeps a part of its value, less than that of a read that can be in time.
+// A write whose latency objective has passed keeps a part of its value, less than that of a read that can be
+// in time.
 func TestLateRequestsGiveWayToTimelyOnes(t *testing.T) {
 	s := settings()
 	s.Classes[atMostOnceWrite].PriorityWeight, s.Classes[strongRead].PriorityWeight = 5, 2
@@ -28,8 +29,8 @@
 	}
 }
 
-// The worst-served class has additional weight, so of two queued requests it is sent first. Retries of its clients don't
-// have that weight, and without it the class of the higher priority is sent first.
+// The worst-served class has additional weight, so of two queued requests it is sent first. Retries of its
+// clients don't have that weight, and without it the class of the higher priority is sent first.
 func TestTheWorstServedClassGoesFirst(t *testing.T) {
 	for _, tc := range []struct {
 		name          string
@@ -39,8 +40,8 @@
 	}{
 		{"it is served worst", 0.4, 0, false, true},
 		{"it is served as well as the other", 0.4, 10, false, false},
-		{"a repeat", 0.4, 0, true, false},
-		{"the worst class does not count by itself", 0, 0, false, false},
+		{"a retry", 0.4, 0, true, false},
+		{"the worst-served class has no additional weight", 0, 0, false, false},
 	} {
 		s := settings()
 		s.WorstClassWeight = tc.weight
--- a/routing/simulation_test.go
+++ b/routing/simulation_test.go
@@ -55,8 +55,8 @@
 	overloadWindow   = 1500 * ms // how long a warming host withstands an overload, as in the settings
 )
 
-// fleetSimulation simulates a whole fleet on one test clock: client requests, hosts that answer after some time and the
-// connections that sends need. It counts what all routers together do in each measuredSlot.
+// fleetSimulation simulates a whole fleet on one test clock: client requests, hosts that answer after some
+// time and the connections that sends need. It counts what all routers together do in each measuredSlot.
 type fleetSimulation struct {
 	t             testing.TB
 	cfg           Settings
@@ -87,7 +87,7 @@
 	marksRetries  bool               // clients mark their retries as such
 }
 
-// clientRequest is a client's request.
+// clientRequest is a client's request, with its attempts and the client's retries so far.
 type clientRequest struct {
 	class, group, router, attempts, retries int
 	deadline                                time.Duration
@@ -97,8 +97,8 @@
 	return newFleetSimulationOf(t, simulatedRouters, simulatedGroups, 9, nil)
 }
 
-// newFleetSimulationOf simulates routers with equal shares of the requests, unless share gives the share of each. The
-// request rate of a group does not depend on the number of routers.
+// newFleetSimulationOf simulates routers with equal shares of the requests, unless share gives the share of
+// each. The request rate of a group does not depend on the number of routers.
 func newFleetSimulationOf(t testing.TB, routers, groups int, seed uint64, share func(router int) float64) *fleetSimulation {
 	return newFleetSimulationWith(t, routers, groups, usualReplicas, seed, share)
 }
@@ -145,8 +145,8 @@
 	return sort.Search(len(sums)-1, func(i int) bool { return x < sums[i] })
 }
 
-// restartRouter replaces a router by a new one, which gets the present endpoint list or an older one. The clients of its
-// pending requests retry at random routers.
+// restartRouter replaces a router by a new one, which gets the present endpoint list or an older one. The
+// clients of its pending requests retry at random routers, except for at-most-once writes.
 func (w *fleetSimulation) restartRouter(router int, known []Target) {
 	w.cfg.RouterIndex = router
 	c, err := New(w.cfg, uint64(w.lastOrder))
@@ -199,7 +199,8 @@
 	w.announceLate(func(int) time.Duration { return 0 }, entries...)
 }
 
-// announceLate sends entries of the endpoint list to each router after the delay that late returns; below 0: never.
+// announceLate sends entries of the endpoint list to each router after the delay that late returns; below 0:
+// never.
 func (w *fleetSimulation) announceLate(late func(router int) time.Duration, entries ...Target) {
 	for _, e := range entries {
 		w.list[e.Host] = e
@@ -290,7 +291,7 @@
 		w.schedule(probeTime, router, e)
 	case ActSend:
 		m, q := w.list[a.Host], w.requests[a.ID]
-		require.False(w.t, m.Removed || m.Draining, "work for %s, which has left", a.Host)
+		require.False(w.t, m.Removed || m.Draining, "work for %s, which was removed or is draining", a.Host)
 		w.countWork(router, a.Host, 1)
 		if w.isWarming(router, a.Host) {
 			w.count("cold", 1)
@@ -322,7 +323,8 @@
 	return m.startedAt > 0 && w.now-m.startedAt < w.cfg.SlowStart.Duration
 }
 
-// countWork counts the work that reaches a host, and separately the part from routers that don't know of its start.
+// countWork counts the work that reaches a host, and separately the part from routers that don't know of its
+// start.
 func (w *fleetSimulation) countWork(router int, host string, n float64) {
 	w.count("work "+host, n)
 	if w.routers[router].members[host].startedAt < w.list[host].StartedAt {
@@ -340,9 +342,9 @@
 // upperBound returns the limit for a count of a given mean: four standard deviations above it.
 func upperBound(mean float64) int { return int(math.Ceil(mean + 4*math.Sqrt(mean))) }
 
-// requireBounds requires that what the fleet did since a time stays within what the settings and the requests allow in any
-// 100 ms. started is the number of hosts that started at that time. rationed tells whether the probe budget limits probes:
-// it does not where no primary can serve the reads instead.
+// requireBounds requires that what the fleet did since a time stays within what the settings and the requests
+// allow in any 100 ms. started is the number of hosts that started at that time. rationed tells whether the
+// probe budget limits probes: it does not where no primary can serve the reads instead.
 func (w *fleetSimulation) requireBounds(what string, since time.Duration, started int, rationed bool) {
 	w.t.Helper()
 	const arrive = simulatedRate * float64(measuredWindow) / float64(time.Second)
@@ -351,7 +353,7 @@
 	require.LessOrEqual(w.t, w.peak("connects", since), most, "%s: connects in 100 ms", what)
 	for h := range w.list {
 		require.LessOrEqual(w.t, w.peak("connects "+h, since), upperBound(arrive/simulatedGroups*(1+retryBudgetRatio)),
-			"%s: connects at %s: its group's requests alone lead there", what, h)
+			"%s: connects at %s: only its group's requests need them", what, h)
 	}
 	probes := upperBound(2 * arrive) // two per read are enough to find a replica that qualifies
 	if rationed {
@@ -361,7 +363,8 @@
 	if started == 0 {
 		return
 	}
-	// A warm host bears its share of its group's requests; a warming one a fraction of that, times the overload factor.
+	// A warm host bears its share of its group's requests; a warming one a fraction of that, times the
+	// overload factor.
 	for at := since; at < min(w.now, since+s.SlowStart.Duration/2); at += measuredWindow {
 		share := s.SlowStart.Floor + (1-s.SlowStart.Floor)*float64(at+measuredWindow-since)/float64(s.SlowStart.Duration)
 		stands := s.SlowStart.OverloadFactor * share * arrive / simulatedGroups / 3 * float64(started)
@@ -369,16 +372,17 @@
 		for i := range measuredWindow / measuredSlot {
 			n += w.counted["cold"][at/measuredSlot+i]
 		}
-		require.LessOrEqual(w.t, int(n), upperBound(stands), "%s: work at cold hosts, %v after the start", what, at-since)
+		require.LessOrEqual(w.t, int(n), upperBound(stands), "%s: work at warming hosts, %v after the start", what, at-since)
 	}
 }
 
-// worstOverload returns the largest load of any host that started since a time, as a fraction of what the host withstands.
-// The load is what the host was sent in any overload window, including what it rejected. It withstands N requests of mean
-// work, plus twice the root of N for chance, plus two. N is the multiple that the settings allow of the capacity that the
-// host surely has when that window begins. The capacity of a warm host is a replica's share of the requests for its group
-// while no client has to retry. worstInformed leaves out the windows in which two thirds or more of the work came from
-// routers that had not been told of the host's start.
+// worstOverload returns the largest load of any host that started since a time, as a fraction of what the
+// host withstands. The load is what the host was sent in any overload window, including what it rejected. It
+// withstands N requests of mean work, plus twice the root of N for chance, plus two. N is the multiple that
+// the settings allow of the capacity that the host surely has when that window begins. The capacity of a warm
+// host is a replica's share of the requests for its group while no client has to retry. worstInformed counts
+// only the windows in which more than two thirds of the work came from routers that had been told of the
+// host's start.
 func (w *fleetSimulation) worstOverload(since time.Duration) (worst, worstInformed float64, hosts int) {
 	s := &w.cfg
 	for h, e := range w.list {
@@ -423,7 +427,7 @@
 	w.t.Helper()
 	_, worst, n := w.worstOverload(since)
 	require.Positive(w.t, n, "%s: hosts started", what)
-	require.Positive(w.t, worst, "%s: cold hosts take their part", what)
+	require.Positive(w.t, worst, "%s: warming hosts get some of the work", what)
 	w.t.Logf("%s: a warming host was sent at most %.0f%% of what it withstands in %v; rejected: %.0f%%", what, 100*worst, overloadWindow,
 		100*float64(w.rejected)/float64(w.arrived))
 	require.LessOrEqual(w.t, worst, 1.0, what)
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -9,9 +9,9 @@
 )
 
 // slowStartBudget is a token bucket that limits the requests which this router sends to one warming member.
-// It refills at the rate that the member can surely bear. The burst capacity is what it earns within about
-// one overload window, so tokens that are not used by then are lost. The budgets of all routers add up to
-// what the member bears, however many requests arrive and whichever members leave the group.
+// It refills at the rate that the member can surely bear. The burst capacity is what it earns within one
+// overload window, or a few at a low rate, so tokens that are not used by then are lost. The budgets of all
+// routers add up to what the member bears, however many requests arrive and whichever members leave.
 type slowStartBudget struct {
 	tokens      float64
 	earnedAt    time.Duration
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -7,9 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// An attempt may wait a second for its connection, and its host may restart meanwhile. The attempt must then pass slow
-// start again before it is written. Without that check, 99 of 99 attempts by 300 routers that were chosen for a replica
-// before the list told of its new start were written right after it, to a host that had a fifth of its capacity.
+// An attempt may wait a second for its connection, and its host may restart meanwhile. The attempt must then
+// pass slow start again before it is written. Without that check, 99 of 99 attempts by 300 routers that were
+// chosen for a replica before the list told of its new start were written right after it, to a host that had
+// a fifth of its capacity.
 func TestWaitingAttemptsAreRevalidatedWhenTheirHostRestarts(t *testing.T) {
 	f := newFleet(t, 300, shard())
 	type chosen struct {
