--- a/routing/attempts.go
+++ b/routing/attempts.go
@@ -5,32 +5,33 @@
 	"time"
 )
 
-// request is a client's request, until its final answer was given and all its attempts have ended.
+// request is a client's request, kept until it has its final answer and all its attempts have ended.
 type request struct {
 	id                               string
 	class                            *class
 	group                            *group
 	sessionKey                       uint64
-	hasSessionKey, isRetry           bool // isRetry: its client marks it as a retry
+	hasSessionKey, isRetry           bool // isRetry: the client marks it as a retry
 	arrivedAt, objectiveAt, deadline time.Duration
-	minPosition                      time.Duration // least position a member must have; 0: none
+	minPosition                      time.Duration // least log position that a member must have; 0: none
 	attempts                         []attempt
-	inFlight, probeCount             int           // attempts; probes that it has waited for
-	mayHaveRun                       bool          // some attempt
-	dedupDeadline                    time.Duration // of the first such: when a retry must have ended
+	inFlight, probeCount             int           // attempts in flight; probes that it has waited for
+	mayHaveRun                       bool          // at least one attempt may have run
+	dedupDeadline                    time.Duration // the last time at which a retry is still deduplicated
 	finished, queued                 bool
-	weight                           float64 // with what its tenant's quota leaves of it
-	sample                           float64 // random, see drawGrant; from 1 on: used up
+	weight                           float64 // priority weight, reduced over quota and for retries
+	sample                           float64 // random input of slow start's drawGrant; from 1 on: used up
 	grants                           []slowStartGrant
-	probed                           *member // by the last probe
+	probed                           *member // member whose probe it waited for last
 	probedAt                         time.Duration
 }
 
+// attempt is one attempt of a request at a member.
 type attempt struct {
 	member    *member
 	sentAt    time.Duration
-	startedAt time.Duration // of the member's process, and
-	grantedAt time.Duration // when slow start let it pass
+	startedAt time.Duration // when the member's process started, as known at grantedAt
+	grantedAt time.Duration // when slow start allowed the attempt
 	pending   bool
 }
 
@@ -38,14 +39,16 @@
 	return slices.ContainsFunc(req.attempts, func(a attempt) bool { return a.member == m })
 }
 
-// dispatch sends a request to a member, or leaves it queued for the next tick, or ends it.
+// dispatch sends a request to a member, queues it for the next tick, or gives it up.
 func (r *Router) dispatch(req *request) {
 	k := req.class
-	tooLate := r.now >= req.deadline-answerMargin || // or not to be had in time, and worth nothing late:
+	// Too late: near the deadline, or the answer is expected after the objective and then has no value.
+	// For this the expected latency counts for at most three quarters of the time up to the objective.
+	tooLate := r.now >= req.deadline-answerMargin ||
 		k.LateFraction == 0 && r.now+min(k.latency, (req.objectiveAt-req.arrivedAt)*3/4) >= req.objectiveAt
-	// So is a read that was never sent by half of its time: its client has the rest for elsewhere.
-	half := req.arrivedAt + (req.deadline-req.arrivedAt)/2 - answerMargin
-	tooLate = tooLate || k.Access != Write && len(req.attempts) == 0 && r.now >= half
+	// So it is for a read not sent within half of its time: the client can use the rest to retry elsewhere.
+	halfwayAt := req.arrivedAt + (req.deadline-req.arrivedAt)/2 - answerMargin
+	tooLate = tooLate || k.Access != Write && len(req.attempts) == 0 && r.now >= halfwayAt
 	switch {
 	case tooLate:
 		r.giveUp(req, EndTooLate)
@@ -66,7 +69,7 @@
 	}
 }
 
-// chooseMember returns where a request goes now, or nil if it has to wait.
+// chooseMember returns the member that a request is sent to now, or nil if the request has to wait.
 func (r *Router) chooseMember(req *request) *member {
 	primary, isWrite := req.group.primary(), req.class.Access == Write
 	switch {
@@ -75,7 +78,7 @@
 	case primary == nil && isWrite:
 		return r.searchPrimary(req)
 	case primary == nil || primary.unconfirmedPrimary && !isWrite:
-		for _, m := range req.group.members { // a strong read waits for the primary: ask who it is
+		for _, m := range req.group.members { // a strong read waits for the primary: probe for it
 			if r.cfg.Probing.findsRole() && m.active && r.now-m.probedAt >= retryBackoff/2 {
 				r.probe(m)
 			}
@@ -86,12 +89,13 @@
 	return nil
 }
 
+// send records an attempt of a request at a member and emits the action that sends it.
 func (r *Router) send(req *request, m *member) {
 	var timeout time.Duration
 	if req.class.LateFraction == 0 {
 		timeout = max(req.objectiveAt-r.now-answerMargin, answerMargin)
 	}
-	if req.class.Idempotency == Deduplicated { // what is still queued at the host then must not run
+	if req.class.Idempotency == Deduplicated { // after the timeout, the host must not run it from its queue
 		timeout = min(max(8*r.meanLatency, req.class.LatencyObjective), req.dedupDeadline-r.now)
 	}
 	if m.inFlight == 0 {
@@ -104,22 +108,22 @@
 		member: m, sentAt: r.now, startedAt: m.startedAt, grantedAt: r.now, pending: true,
 	})
 	r.settleGrants(req, m)
-	if r.isWarming(m) { // a further attempt adds nothing to what the sample stands for
+	if r.isWarming(m) { // the sample covers one attempt: a retry draws no grant with it
 		req.useUpSample()
 	}
 	req.inFlight++
-	need := r.requiredPosition(req)
-	r.emit(Action{Kind: ActSend, ID: req.id, Host: m.host, Timeout: timeout, MinPosition: need})
+	minPosition := r.requiredPosition(req)
+	r.emit(Action{Kind: ActSend, ID: req.id, Host: m.host, Timeout: timeout, MinPosition: minPosition})
 }
 
-// canRetry reports whether one more attempt can do no harm.
+// canRetry reports whether another attempt is safe, so that the request cannot take effect twice.
 func (r *Router) canRetry(req *request) bool {
 	k := req.class
 	return !req.mayHaveRun || k.Idempotency == Idempotent || k.Idempotency == Deduplicated &&
 		k.Scope != ScopeZone && r.now+max(k.latency, minLatency) < req.dedupDeadline
 }
 
-// handleOutcome takes the end of an attempt: its evidence first, then what becomes of the request.
+// handleOutcome records what the end of an attempt shows of its member, then retries or ends the request.
 func (r *Router) handleOutcome(e *AttemptEnded) {
 	req := r.requests[e.ID]
 	if req == nil || e.Attempt < 0 || e.Attempt >= len(req.attempts) || !req.attempts[e.Attempt].pending {
@@ -132,7 +136,7 @@
 	a.member.inFlightByClass[req.class.index]--
 	a.member.waitingSince = r.now
 	r.recordOutcome(a, req, e)
-	if e.Execution == NotBegun && a.startedAt == a.member.startedAt { // the host has seen nothing of it
+	if e.Execution == NotBegun && a.startedAt == a.member.startedAt { // nothing was written to the host
 		r.refund(a.member, a.member.slowStartCost(req.class))
 		req.redraw(r.rng.Float64())
 	}
@@ -149,10 +153,10 @@
 		delete(r.requests, req.id)
 		return
 	}
-	// A retry costs what the last attempt took: quick failures are cheap, late ones add to an overload.
+	// A retry costs more the longer the last attempt took: quick failures are cheap, slow ones add load.
 	cost := min(1, minRetryCost+2*e.Elapsed.Seconds()/req.class.LatencyObjective.Seconds())
-	// Its host is sound, though no primary or behind; and what came too late to be sent is chosen for anew.
-	if e.Code.isMisplaced() || e.Code == NotSent || req.class.Access == Write && neverRan {
+	// Free: the host was healthy but the wrong one, the attempt was not sent in time, or a write never ran.
+	if e.Code.isMisrouted() || e.Code == NotSent || req.class.Access == Write && neverRan {
 		cost = 0
 	}
 	switch {
@@ -167,12 +171,12 @@
 	r.dispatch(req)
 }
 
-// recordOutcome takes what an attempt shows of its member.
+// recordOutcome updates a member's role, position, load report and health by how an attempt ended.
 func (r *Router) recordOutcome(a *attempt, req *request, e *AttemptEnded) {
 	m, isWrite := a.member, req.class.Access == Write
 	if e.Role != Unknown {
 		position := e.Position
-		if isWrite && e.Code == OK { // a commit, rounded up: not yet a proven position
+		if isWrite && e.Code == OK { // a commit's position is rounded up, so it is not proven
 			if r.cfg.TracksCommits && req.hasSessionKey && e.Position > 0 {
 				r.recordCommit(req.group, req.sessionKey, e.Position)
 			}
@@ -180,20 +184,20 @@
 		}
 		r.recordAnswer(m, &LateAnswer{Role: e.Role, Position: e.Position, Elapsed: e.Elapsed}, position)
 	}
-	if e.Code == StaleAnswer && e.Position > 0 { // its data went back behind what it had reported
+	if e.Code == StaleAnswer && e.Position > 0 { // its data is older than it had reported
 		m.position = min(m.position, e.Position)
 	}
 	r.recordReport(m, e.Report)
-	r.judgeAttempt(m, a, req, e)
+	r.updateHealth(m, a, req, e)
 	if e.Code == NoConnection || e.Code == Misdirected && isWrite {
 		m.notPrimaryAt = r.now
 	}
 }
 
-// judgeAttempt updates the connection, score and limit of a member by how an attempt ended.
-func (r *Router) judgeAttempt(m *member, a *attempt, req *request, e *AttemptEnded) {
-	// While many attempts fail to connect at once, hosts are out of connections: most routers close theirs.
-	m.connected = m.connected || e.Code == OK || e.Code.isMisplaced()
+// updateHealth updates the connection state, score and limit of a member by how an attempt ended.
+func (r *Router) updateHealth(m *member, a *attempt, req *request, e *AttemptEnded) {
+	// Many immediate connect failures show that hosts are out of connections: most routers close idle ones.
+	m.connected = m.connected || e.Code == OK || e.Code.isMisrouted()
 	r.connectFailures -= r.connectFailures / connectSpan
 	if e.Code == NoConnection && e.Elapsed < minLatency {
 		r.connectFailures += 1.0 / connectSpan
@@ -209,17 +213,18 @@
 		m.answeredAt = r.now
 	case ServerError, NoConnection:
 		score, m.connected = faultScore, e.Code == ServerError
-	case ConnectionLost: // if the host is dead, the next will not even connect
+	case ConnectionLost: // if the host is down, the next attempt will not even connect
 		score, m.connected = transientFaultScore, false
 	case Malformed:
 		score, m.answeredAt = transientFaultScore, r.now
 	case NoAnswer:
-		// One alone may be a costly request, at a slow host often; a dead one is silent, or refuses the next.
-		if score = max(1, score); m.answeredAt <= a.sentAt { // else it answered others meanwhile: busy
+		// A single one may be due to a costly request, at a slow host often; a host that is down stays
+		// silent, or refuses the next connection.
+		if score = max(1, score); m.answeredAt <= a.sentAt { // else it answered others meanwhile: it is busy
 			score = transientFaultScore
 		}
 		r.recordLost(m, req)
-	case Rejected: // even the answer cost it something: leave it alone for about an answer's time
+	case Rejected: // a rejection costs the host work too: back off for one to two mean latencies
 		m.backoffUntil = r.now + time.Duration((1+r.rng.Float64())*float64(max(r.meanLatency, minLatency)))
 		r.adjustLimit(m, -limitDecrease)
 		r.raiseShedding(req.admission(m), 0.5)
@@ -227,7 +232,7 @@
 	default:
 		return
 	}
-	if !e.Code.isMisplaced() {
+	if !e.Code.isMisrouted() {
 		r.recordScore(m, score)
 	}
 	if e.Code == OK {
@@ -235,7 +240,7 @@
 	}
 }
 
-// recordLatency takes an answer's latency: late ones close the member's limit and shed, timely ones open it.
+// recordLatency applies an answer's latency: slow answers lower the limit and shed more, fast ones undo that.
 func (r *Router) recordLatency(m *member, req *request, elapsed time.Duration) {
 	k, a, inTime := req.class, req.admission(m), 0.0
 	r.meanLatency = smoothLatency(r.meanLatency, elapsed)
@@ -258,7 +263,7 @@
 	}
 }
 
-// handleClientGone: a client that left has found the queues of its members too long.
+// handleClientGone ends a client's request. Its pending attempts count as lost: they took too long for it.
 func (r *Router) handleClientGone(id string) {
 	req := r.requests[id]
 	if req == nil || req.finished {
@@ -294,13 +299,13 @@
 	}
 }
 
-// giveUp gives the final answer at once: a rejection where a client's retry is harmless, else a failure.
+// giveUp ends a request now: with a rejection if a retry by the client is harmless, else with a failure.
 func (r *Router) giveUp(req *request, reason EndReason) {
 	k := req.class
 	answer := Action{Kind: ActFail, ID: req.id, Reason: reason}
 	if k.PermitsRejection(req.mayHaveRun || req.inFlight > 0) {
 		answer.Kind, answer.RetryAfter = ActReject, r.cfg.MaxRetryAfter
-		if k.LateFraction != 0 && (!k.needsPrimary() || req.group.primary() != nil) { // its queue may clear
+		if k.LateFraction != 0 && (!k.needsPrimary() || req.group.primary() != nil) { // the queue may drain
 			answer.RetryAfter = min(2*max(r.meanLatency, minLatency), r.cfg.MaxRetryAfter)
 		}
 	}
--- a/routing/events.go
+++ b/routing/events.go
@@ -2,58 +2,59 @@
 
 import "time"
 
-// Event is one thing that happened to a router: a value of one of the types in this file. Times that an event does not give
-// are 0.
+// Event is something that happened to a router: a value of one of the types in this file. A time that an
+// event does not give is 0.
 type Event interface{ isEvent() }
 
-// TargetsChanged brings the endpoint list, or changes to it.
+// TargetsChanged carries the endpoint list, or changes to it.
 type TargetsChanged struct {
-	Full    bool // the complete list
+	Full    bool // Targets is the complete list
 	Targets []Target
 }
 
-// TargetsFailed says that discovery could not be asked.
+// TargetsFailed reports that discovery could not be asked for the endpoint list.
 type TargetsFailed struct{}
 
 // RequestArrived is a new request of a client.
 type RequestArrived struct {
 	ID            string
-	Class         int // place in the settings' classes
-	Tenant        int // place in the settings' tenants, from 1; 0: none
+	Class         int // index into Settings.Classes
+	Tenant        int // index into Settings.Tenants plus 1; 0: none
 	SessionKey    uint64
 	HasSessionKey bool
-	IsRetry       bool // the client marks it as a retry of its own
+	IsRetry       bool // the client marks it as a retry
 	Group         uint64
-	TimeRemaining time.Duration // that the client will wait
-	CommitAge     time.Duration // of the session's last commit; below 0: ahead of this clock; 0: none
+	TimeRemaining time.Duration // for which the client still waits
+	CommitAge     time.Duration // of the session's last commit; negative: ahead of this clock; 0: none
 }
 
 // AttemptEnded is the end of one attempt of a request.
 type AttemptEnded struct {
 	ID      string // of the request
-	Attempt int
+	Attempt int    // index among the request's attempts, from 0
 	Host    string
 	Code    Code
-	// Execution is what is proven of whether the request ran. Only what never ran is rejected, or repeated where that does harm.
+	// Execution is what is proven about whether the request ran. Where a repeat would do harm, only a request
+	// that never ran is rejected or repeated.
 	Execution Execution
 	Elapsed   time.Duration
-	Final     bool // the request has its final answer with it
+	Final     bool // the request gets its final answer with this
 	Role      Role
-	Position  time.Duration // of the answer's data or, for a write, its commit; 0: not given
+	Position  time.Duration // of the answer's data or, for a write, of its commit; 0: not given
 	Report    Report
 }
 
-// FirstByte says that an answer begins.
+// FirstByte reports that an answer has begun.
 type FirstByte struct {
 	ID string // of the request
 }
 
-// ClientGone says that the client of a request has disconnected.
+// ClientGone reports that the client of a request has disconnected.
 type ClientGone struct {
 	ID string // of the request
 }
 
-// TimerFired says that a timer is due.
+// TimerFired reports that a timer is due.
 type TimerFired struct{}
 
 // ProbeEnded is the end of a probe.
@@ -64,7 +65,7 @@
 	Report  Report
 }
 
-// LateAnswer is what a host answered to an attempt that was given up.
+// LateAnswer is a host's answer to an attempt that had already been given up.
 type LateAnswer struct {
 	Host     string
 	Role     Role
@@ -72,7 +73,7 @@
 	Elapsed  time.Duration // since the attempt was sent
 }
 
-// PeerMessage says that another router sent something.
+// PeerMessage reports that another router sent a message.
 type PeerMessage struct{}
 
 func (TargetsChanged) isEvent() {}
--- a/routing/members.go
+++ b/routing/members.go
@@ -11,44 +11,47 @@
 type member struct {
 	host                 string
 	group                *group
-	listed, probePending bool // listed: the endpoint list names it
-	active               bool // and it is not draining
-	startedAt, removedAt time.Duration
-	startToldAt          time.Duration // when it was told
+	listed, probePending bool          // listed: the endpoint list contains it
+	active               bool          // it may get new work, probes included: it is not draining
+	startedAt, removedAt time.Duration // when its process started; when it last stopped being active
+	startToldAt          time.Duration // when the router learned of startedAt
 	budget               slowStartBudget
-	position, positionAt time.Duration // proven, until an answer disproves it; when it was last confirmed
+	position, positionAt time.Duration // proven until an answer disproves it; when it was last confirmed
 	roleEvidence
 	workload
-	score              float64 // smoothed outlier score
-	scoredAt, probedAt time.Duration
+	score              float64       // smoothed outlier score as of scoredAt
+	scoredAt, probedAt time.Duration // time of the last score; of the last probe
 	restoredFacts
 }
 
-// roleEvidence is what a member's role rests on.
+// roleEvidence is the evidence about a member's role.
 type roleEvidence struct {
-	primaryAt, notPrimaryAt       time.Duration // latest evidence of being primary, and of not being it
-	namedPrimary, reportedReplica bool          // by the endpoint list; by itself, once
-	unconfirmedPrimary            bool          // only the list has said otherwise since
+	primaryAt, notPrimaryAt time.Duration // latest evidence that it is the primary, and that it is not
+	// listedAsPrimary: the endpoint list names it as the primary. reportedReplica: it has reported itself a
+	// replica at least once.
+	listedAsPrimary, reportedReplica bool
+	// unconfirmedPrimary: since it was last known not to be the primary, only the endpoint list has named it.
+	unconfirmedPrimary bool
 }
 
 // workload is what this router has in flight at a member, and how the member copes with it.
 type workload struct {
 	inFlight           int
-	inFlightByClass    []int
-	waitingSince       time.Duration // since then work is in flight and nothing came back
+	inFlightByClass    []int         // by the index of the class
+	waitingSince       time.Duration // since when requests are in flight and nothing has come back
 	answeredAt, sentAt time.Duration // the last answer and the last attempt
-	backoffUntil       time.Duration // it rejected a request
+	backoffUntil       time.Duration // it rejected a request: no attempts until then
 	limit              float64       // of requests in flight
-	connected          bool          // a connection was made, and not lost since
+	connected          bool          // a connection was established, and none was lost since
 }
 
 // group is a primary and its replicas.
 type group struct {
 	id                           uint64
-	members                      []*member                // by host
+	members                      []*member                // sorted by host
 	searcher                     *request                 // the write that searches for the primary
-	searchAfter, searchStartedAt time.Duration            // no search before; the beginning of this round
-	commits                      map[uint64]time.Duration // by session
+	searchAfter, searchStartedAt time.Duration            // no search before; the start of the current round
+	commits                      map[uint64]time.Duration // last commit by session
 	commitOrder                  []sessionCommit          // oldest first
 	commitFloor                  time.Duration            // for sessions without a remembered commit
 	admissions                   [2]admission             // of reads at replicas, and at the primary
@@ -56,6 +59,7 @@
 	history                      loadHistory
 }
 
+// applyTargets applies the endpoint list, or changes to it.
 func (r *Router) applyTargets(e *TargetsChanged) {
 	if e.Full {
 		if r.tickAt == 0 && r.cfg.MustSubscribe {
@@ -72,7 +76,8 @@
 			}
 		}
 	}
-	for _, m := range r.members { // a list may bring back at once what it removed
+	// A removed member is kept for a while, since a list may soon name it again.
+	for _, m := range r.members {
 		if !m.active && m.inFlight == 0 && r.now-m.removedAt > memberRetention {
 			r.removeMember(m)
 		}
@@ -82,9 +87,10 @@
 	}
 }
 
+// applyTarget applies one entry of the endpoint list.
 func (r *Router) applyTarget(t *Target) {
 	m := r.members[t.Host]
-	if m != nil && m.group.id != t.Group { // it holds other data now: nothing known of it counts
+	if m != nil && m.group.id != t.Group { // the host holds other data now: discard what is known of it
 		r.removeMember(m)
 		m = nil
 	}
@@ -94,26 +100,27 @@
 		m = r.addMember(t)
 	}
 	r.advanceHistory(m.group)
-	if t.Primary && r.cfg.ListNamesPrimary && !m.namedPrimary { // weaker than anything seen since
+	if t.Primary && r.cfg.ListNamesPrimary && !m.listedAsPrimary { // may be maxListDelay old
 		isContested := m.reportedReplica && m.primaryAt <= m.notPrimaryAt
 		m.unconfirmedPrimary = isContested && r.cfg.Probing.findsRole()
 		m.primaryAt = max(m.primaryAt, r.now-maxListDelay, 1)
 	}
-	m.namedPrimary = t.Primary
-	if t.Draining || t.Removed && !r.cfg.IgnoresRemoval { // there a list proves nothing of what runs
+	m.listedAsPrimary = t.Primary
+	// With IgnoresRemoval, an entry's removal says nothing about whether the host still runs.
+	if t.Draining || t.Removed && !r.cfg.IgnoresRemoval {
 		r.drain(m)
 	}
 	m.listed = !t.Removed
 	if t.Draining || t.Removed {
 		return
 	}
-	// What an old process did wrong still counts for a while: it may do so again.
+	// Failures of the host's previous process still count for a while: the new one may fail in the same way.
 	m.setStart(min(t.StartedAt, r.now), r.now)
 	m.active = true
 	r.restore(m)
 }
 
-// setStart takes the start of a member's process that was told now. Starts only go forward.
+// setStart records the start time of a member's process, which was learned now. It never moves back.
 func (m *member) setStart(at, now time.Duration) {
 	if at > m.startedAt {
 		m.startedAt, m.startToldAt = at, now
@@ -121,6 +128,7 @@
 	}
 }
 
+// addMember adds a member for an entry of the endpoint list, and its group if that is new.
 func (r *Router) addMember(t *Target) *member {
 	g := r.groups[t.Group]
 	if g == nil {
@@ -137,6 +145,7 @@
 	return m
 }
 
+// removeMember forgets a member, and its group if it was the last one.
 func (r *Router) removeMember(m *member) {
 	g := m.group
 	m.active = false
@@ -148,25 +157,27 @@
 	}
 }
 
-// drain stops all new work for a member at once, inside the grace period.
+// drain stops all new work for a member immediately, within the host's grace period.
 func (r *Router) drain(m *member) {
 	r.advanceHistory(m.group)
 	if m.active {
 		m.removedAt = r.now
 	}
-	m.active, m.notPrimaryAt = false, r.now // nor is it the primary, until newer evidence comes
+	m.active, m.notPrimaryAt = false, r.now // it is not the primary either, until newer evidence comes
 }
 
-// recordEvidence keeps the highest position and the newest evidence of the role, in whatever order they come.
+// recordEvidence keeps a member's highest position and the newest evidence of its role, in whatever order
+// they arrive.
 func (r *Router) recordEvidence(m *member, position time.Duration, role Role, at time.Duration) {
-	if role == Replica { // this makes more careful, however garbled the rest is
+	// To take a member for a replica is the careful choice, so this is believed even if the rest is garbled.
+	if role == Replica {
 		m.notPrimaryAt, m.reportedReplica = max(m.notPrimaryAt, min(at, r.now)), true
 	}
 	if role == Primary && position > 0 {
 		r.observeClock(m, position)
 	}
 	if r.isFromTheFuture(m.group, position) {
-		return // no host is ahead of its group's clock: garbled
+		return // no host is ahead of its group's clock: the report is garbled
 	}
 	at = min(at, r.now)
 	if position > 0 {
@@ -177,42 +188,47 @@
 	}
 }
 
-// recordAnswer dates an answer, which may be late: a replica may have sent it just now, a primary only since
-// the request went out, or as its stamp says.
+// recordAnswer records an answer, which may arrive late, with the time at which its role held. A replica's
+// role counts as of now. A primary's counts as of when the attempt was sent, or as of the answer's position
+// if that is later.
 func (r *Router) recordAnswer(m *member, e *LateAnswer, position time.Duration) {
 	at := r.now
 	if e.Role == Primary {
 		at -= e.Elapsed
 		lead := m.group.clock.proven
-		if e.Position < r.now+lead+positionMargin { // commits are rounded up
+		if e.Position < r.now+lead+positionMargin { // a commit's position is rounded up
 			at = max(at, min(e.Position-lead, r.now))
 		}
 	}
 	r.recordEvidence(m, position, e.Role, at)
 }
 
-// recordReport takes a load report. It may be old: its position dates it, but a replica's may stand for long.
+// recordReport records a load report, which may be old. Its position tells when it was made, except for a
+// replica, whose position may stand still for long.
 func (r *Router) recordReport(m *member, report Report) {
 	at := report.Position - m.group.clock.proven
 	if at <= 0 || report.Role == Replica {
-		at = max(at, r.now-retryBackoff) // undated: older than any report
+		at = max(at, r.now-retryBackoff) // no usable time: count it as older than any report
 	}
 	r.recordEvidence(m, report.Position, report.Role, at)
 }
 
-// outlierScore is what an attempt at a member lately scored; with no recent one, the mean of all members.
+// outlierScore returns a member's smoothed score. While no attempt is scored, it decays to the mean of all
+// members over scoreRetention.
 func (r *Router) outlierScore(m *member) float64 {
 	return r.meanScore + (m.score-r.meanScore)*max(0, 1-(r.now-m.scoredAt).Seconds()/scoreRetention)
 }
 
-// recordScore notes the score of an attempt, with the more weight the longer ago the last one was.
+// recordScore adds the score of an attempt to a member's smoothed score. Its weight grows with the time since
+// the last one.
 func (r *Router) recordScore(m *member, score float64) {
 	weight := min(0.5, max(0.125, (r.now-m.scoredAt).Seconds()/2))
 	m.score, m.scoredAt = r.outlierScore(m)+weight*(score-r.outlierScore(m)), r.now
 	smooth(&r.meanScore, score, scoreSpan)
 }
 
-// isSilent: work is in flight and nothing has come back for far longer than is usual for the shortest of it.
+// isSilent reports whether requests are in flight at a member and nothing has come back for more than four
+// times the usual latency of the fastest class among them.
 func (r *Router) isSilent(m *member) bool {
 	if m.inFlight == 0 || r.now-m.waitingSince <= minSilence {
 		return false
@@ -226,7 +242,8 @@
 	return r.now-m.waitingSince > 4*usual
 }
 
-// isHealthy: not silent, no outlier. An outlier is tried again after seconds, with one request at a time.
+// isHealthy reports whether a member is neither silent nor an outlier. An outlier is tried again after some
+// seconds, with one request at a time.
 func (r *Router) isHealthy(m *member) bool {
 	return !r.isSilent(m) && r.outlierScore(m) < outlierThreshold &&
 		(m.score < outlierThreshold || m.inFlight == 0)
--- a/routing/primary.go
+++ b/routing/primary.go
@@ -13,11 +13,13 @@
 	return primary
 }
 
-// searchPrimary lets one write at a time try the members; an attempt at a replica proves that nothing ran.
-// What was proven a replica longest ago comes first, among equals a random one, so that routers differ.
+// searchPrimary returns the member that a write tries in search of the primary, or nil. One write at a time
+// tries the members of a group; a replica's answer to such an attempt proves that nothing ran. The member
+// that was proven a replica longest ago comes first. Among equals, the one that was primary before this
+// router's restart goes first, else a random one, so that routers search in different orders.
 func (r *Router) searchPrimary(req *request) *member {
 	g := req.group
-	s := g.searcher // it searches until its attempt is answered, or is in flight at a silent member
+	s := g.searcher // until its attempt is answered, or its member is silent
 	isSearching := s != nil && s.inFlight > 0 && !r.isSilent(s.attempts[len(s.attempts)-1].member)
 	if isSearching || r.now < g.searchAfter {
 		return nil
@@ -31,7 +33,7 @@
 			next = m
 		}
 	}
-	if next != nil && next.notPrimaryAt > 0 && next.notPrimaryAt >= g.searchStartedAt { // the round is over
+	if next != nil && next.notPrimaryAt > 0 && next.notPrimaryAt >= g.searchStartedAt { // all were tried
 		g.searchStartedAt, g.searchAfter = r.now+searchBackoff, r.now+searchBackoff
 		return nil
 	} else if next != nil {
@@ -40,7 +42,8 @@
 	return next
 }
 
-// Revalidate reports whether an attempt that was chosen a while ago may be written now; else it is NotSent.
+// Revalidate reports whether an attempt that was chosen a while ago may still be written to its host now. If
+// not, the attempt ends as NotSent.
 func (r *Router) Revalidate(now time.Duration, id string, attempt int) bool {
 	r.now = max(now, r.now)
 	req := r.requests[id]
@@ -56,7 +59,7 @@
 func (r *Router) isEligible(m *member, req *request) bool {
 	primary := req.group.primary()
 	if req.class.Access == Write {
-		return m == primary || primary == nil // a write may search, a read must know
+		return m == primary || primary == nil // a write may search for the primary, a read may not
 	}
 	return m == primary && !primary.unconfirmedPrimary ||
 		req.class.Access != StrongRead && (r.provesPosition(m, req) || r.mayCatchUp(m, req))
--- a/routing/replica.go
+++ b/routing/replica.go
@@ -5,44 +5,50 @@
 	"slices"
 )
 
-// candidates are the replicas that a read was not sent to: healthy, with a proven position; healthy, checking
-// it and about to catch up; outliers with a proven one; healthy ones that a probe may prove; the others.
+// candidates are the replicas that a read has not been sent to yet:
+//   - proven: healthy, and the position that the read needs is proven
+//   - catchUp: healthy, checks the position itself and may be about to reach it
+//   - outliers: not healthy, but the position is proven
+//   - unproven: healthy, and a probe may prove the position
+//   - doubtful: all others
 type candidates struct {
 	proven, catchUp, outliers, unproven, doubtful []*member
-	isBusy                                        bool // one that qualifies has no capacity
+	provenIsFull                                  bool // a healthy, proven one has no capacity
 }
 
-// chooseReplica returns the member for a read: the best candidate, the primary before an outlier, or nil.
+// chooseReplica returns the member for a read: the best replica, else the primary, else an outlier. It
+// returns nil if the read has to wait.
 func (r *Router) chooseReplica(req *request) *member {
 	primary := req.group.primary()
 	if primary != nil && primary.unconfirmedPrimary {
-		primary = nil // no read rests on that; it may be probed, and a write finds out by itself
+		primary = nil // no read relies on it; it may be probed, and a write finds out by itself
 	}
 	found := r.candidates(req, primary)
 	for _, members := range [][]*member{found.proven, found.catchUp} {
-		if m := r.pickOfTwo(r.passing(members, req)); m != nil {
+		if m := r.pickOfTwo(r.allowedBySlowStart(members, req)); m != nil {
 			return m
 		}
 	}
-	isHealthy := primary != nil && r.isHealthy(primary)
-	if r.awaitProbe(req, r.passing(found.unproven, req)) {
+	primaryHealthy := primary != nil && r.isHealthy(primary)
+	if r.awaitProbe(req, r.allowedBySlowStart(found.unproven, req)) {
 		return nil
 	}
-	outliers := r.passing(found.outliers, req)
-	if !isHealthy && len(outliers) == 0 && r.awaitProbe(req, r.passing(found.doubtful, req)) {
+	outliers := r.allowedBySlowStart(found.outliers, req)
+	if !primaryHealthy && len(outliers) == 0 && r.awaitProbe(req, r.allowedBySlowStart(found.doubtful, req)) {
 		return nil
 	}
 	outlier := r.pickOfTwo(outliers)
 	if primary != nil && !r.isSilent(primary) && r.passesSlowStart(primary, req) &&
 		float64(primary.inFlight) < primaryReadFraction*primary.limit && !req.attempted(primary) &&
-		(isHealthy || outlier == nil && !found.isBusy) { // outlier or not: there may be no other
+		(primaryHealthy || outlier == nil && !found.provenIsFull) { // an outlier too: there may be no other
 		return primary
-	} else if isHealthy || found.isBusy {
-		return nil // queued: an outlier is for when all look bad
+	} else if primaryHealthy || found.provenIsFull {
+		return nil // stays queued: outliers are used only if no member is healthy
 	}
 	return outlier
 }
 
+// candidates sorts the replicas of a request's group by how well they qualify for it.
 func (r *Router) candidates(req *request, primary *member) (found candidates) {
 	for _, m := range req.group.members {
 		if !m.active || m == primary || req.attempted(m) {
@@ -51,7 +57,7 @@
 		isHealthy, isProven := r.isHealthy(m), r.provesPosition(m, req)
 		switch {
 		case !r.hasCapacity(m):
-			found.isBusy = found.isBusy || isHealthy && isProven
+			found.provenIsFull = found.provenIsFull || isHealthy && isProven
 		case isProven && isHealthy:
 			found.proven = append(found.proven, m)
 		case isProven:
@@ -64,24 +70,27 @@
 			found.doubtful = append(found.doubtful, m)
 		}
 	}
-	if req.class.Access == EventualRead { // a long query stops the log: run it where that costs least
-		ms := found.proven
-		slices.SortStableFunc(ms, func(a, b *member) int { return cmp.Compare(a.position, b.position) })
-		if len(ms) > 0 && ms[0].positionAt+req.group.clock.lead-ms[0].position >= r.tightestBound {
-			found.proven = ms[:1] // the furthest behind
+	// A long query stops a replica's log replay, so it runs where that costs least: on the replica furthest
+	// behind, if that one lags by the tightest staleness bound or more.
+	if req.class.Access == EventualRead {
+		hosts := found.proven
+		slices.SortStableFunc(hosts, func(a, b *member) int { return cmp.Compare(a.position, b.position) })
+		if len(hosts) > 0 && hosts[0].positionAt+req.group.clock.lead-hosts[0].position >= r.tightestBound {
+			found.proven = hosts[:1] // the one furthest behind
 		}
 	}
 	return found
 }
 
-// passing leaves the members that slow start lets a request go to. It draws on the budgets of those that warm
-// up, so it is asked only of members among which the request's is chosen now.
-func (r *Router) passing(members []*member, req *request) []*member {
+// allowedBySlowStart returns the members that slow start lets a request go to. It draws on the budgets of
+// warming members, so it is called only for members among which the request's member is chosen now.
+func (r *Router) allowedBySlowStart(members []*member, req *request) []*member {
 	return slices.DeleteFunc(members, func(m *member) bool { return !r.passesSlowStart(m, req) })
 }
 
-// pickOfTwo draws two of the members and returns the one with fewer of this router's requests in flight. No
-// host can afford a connection to each of many routers, so most draws are among members with one.
+// pickOfTwo draws two of the members and returns the one with fewer of this router's requests in flight
+// (power of two choices). No host can afford a connection to each of many routers, so most draws are among
+// the members that this router has a connection to.
 func (r *Router) pickOfTwo(members []*member) *member {
 	if r.cfg.RouterCount > shedMinRouters && r.rng.Float64() >= exploreFraction {
 		connected := slices.DeleteFunc(slices.Clone(members), func(m *member) bool {
@@ -109,9 +118,9 @@
 	return m
 }
 
-// isPreferredWhileWarming reports whether a member that granted a request a part of its budget is to
-// have it: as often as makes up an even part of the requests. What else its budget grants is there for
-// when others can't.
+// isPreferredWhileWarming reports whether a warming member whose budget granted a request is preferred for
+// it. It draws this with a probability that gives the member an even part of the requests. The rest of what
+// its budget grants is for requests that other members can't take.
 func (r *Router) isPreferredWhileWarming(m *member) bool {
 	return r.isWarming(m) && r.rng.Float64()*r.slowStartRatio(m) < 1
 }
--- a/routing/router.go
+++ b/routing/router.go
@@ -3,15 +3,19 @@
 // starts no goroutine: events go into Step, and actions come out.
 //
 // Writes and strong reads go to the member last seen as primary. Any other read goes to the less loaded
-// of two randomly drawn replicas that qualify, and to the primary when none does. Everything else keeps
-// that going when something fails; docs/design.md says how, and docs/tuning.md explains the constants.
+// of two randomly drawn replicas that qualify, and to the primary when none does. The rest of the package
+// keeps this working when something fails. docs/design.md describes it, and
+// docs/tuning.md explains the constants.
 //
-// The decisions stand in one file a concern: members.go (host state and evidence), primary.go (the
+// Each concern of the decisions has its own file: members.go (host state and evidence), primary.go (the
 // search for the primary), replica.go (the choice of a replica), admission.go (admission and limits),
-// capacity.go (what members can bear), slowstart.go (what warming members are sent), attempts.go
-// (attempts and retries), probes.go, sessions.go (read your writes), queue.go (queued requests) and
-// constants.go. The deploy file names them as the policy. This file holds what carries them, events.go
-// and types.go its interface, and state.go what a router gives to its next start.
+// capacity.go (the load that members can take), slowstart.go (what warming members are sent),
+// slowstart_status.go (status and counters of slow start), attempts.go (attempts and retries), execution.go
+// (what is proven about whether a request ran), groupclock.go (the clock of a group), probes.go, sessions.go
+// (read your writes), queue.go (queued requests) and constants.go. The deploy file lists them as the policy.
+//
+// This file holds the Router with its settings and the handling of events. events.go and types.go define the
+// interface, and state.go the state that a router hands to its next start.
 package routing
 
 import (
@@ -22,31 +26,31 @@
 	"time"
 )
 
-// Router holds the decisions of one router. It is not safe for concurrent use.
+// Router makes the routing decisions of one pooler. It is not safe for concurrent use.
 type Router struct {
 	cfg           Settings
 	rng           *rand.Rand
 	now           time.Duration
 	members       map[string]*member
 	groups        map[uint64]*group
-	commitFloor   time.Duration // no session of a group that was removed needs a later position
+	commitFloor   time.Duration // of new groups: covers the commits of groups that were removed
 	requests      map[string]*request
 	tenants       []tenant
-	queue         []*request // in the order of the last tick, then as they were queued
+	queue         []*request // in the order of the last tick, newly queued ones at the end
 	actions       []Action
 	classes       []class
-	tightestBound time.Duration // the least staleness bound of a BoundedRead class
+	tightestBound time.Duration // the smallest staleness bound of a BoundedRead class
 	restored      restoredState
 	timers
 	budgets
 	traffic
 }
 
-// timers are the times at which the router acts by itself.
+// timers are the times at which the router acts without an event from outside.
 type timers struct {
 	tickAt        time.Duration // the next tick
-	timerAt       time.Duration // the next timer that was asked for
-	resubscribeAt time.Duration // when to ask discovery again; 0: no need
+	timerAt       time.Duration // the next timer that was requested
+	resubscribeAt time.Duration // when to subscribe to discovery again; 0: no need
 }
 
 // budgets are the retries and probes that the requests so far have earned.
@@ -55,37 +59,37 @@
 	probeBudget float64
 }
 
-// traffic sums up the requests and answers so far.
+// traffic holds statistics of the requests and answers so far.
 type traffic struct {
 	meanLatency     time.Duration // smoothed, of answers
 	meanScore       float64       // smoothed outlier score of all attempts
 	connectFailures float64       // smoothed fraction of the attempts that failed to connect at once
-	worstClass      *class        // the one that is served worst
-	offeredWeight   float64       // of all requests but retries
-	meanWeight      [2]float64    // smoothed, of the requests for replicas and for the primary
+	worstClass      *class        // the one with the lowest inTimeFraction
+	offeredWeight   float64       // total weight of all requests except retries
+	meanWeight      [2]float64    // smoothed, of requests for replicas and for the primary
 	writeFraction   float64       // smoothed fraction of the requests for the primary
 }
 
-// class is a request class with what its requests have shown.
+// class is a request class with the statistics of its requests.
 type class struct {
 	Class
 	index          int
 	part           int           // forReplicas or forPrimary
 	latency        time.Duration // smoothed, of answers
-	serviceTime    time.Duration // near the least that an answer takes, without queueing
-	offeredWeight  float64       // of its requests but retries
-	inTimeFraction float64       // of its last requests, over as many samples as follow
-	samples        float64
+	serviceTime    time.Duration // estimate of the time of an answer without queueing
+	offeredWeight  float64       // total weight of its requests except retries
+	inTimeFraction float64       // fraction of its recent requests that were answered in time
+	samples        float64       // number of requests that inTimeFraction is the mean of, at most maxSamples
 }
 
-// SettingsError says which of the settings can't be served.
+// SettingsError reports a setting that the router can't work with.
 type SettingsError struct {
 	Field  string // of Settings, or of the class that Class names
 	Class  string // "": none
 	Reason string
 }
 
-// Error returns the reason, and the class that it concerns.
+// Error returns the reason and, if there is one, the class that it concerns.
 func (e *SettingsError) Error() string {
 	if e.Class != "" {
 		return fmt.Sprintf("class %q: %s", e.Class, e.Reason)
@@ -93,7 +97,7 @@
 	return e.Reason
 }
 
-// New returns the decisions of one router, or a *SettingsError.
+// New returns a router for the settings, or a *SettingsError. The seed determines its random choices.
 func New(s Settings, seed uint64) (*Router, error) {
 	if err := s.validate(); err != nil {
 		return nil, err
@@ -119,16 +123,16 @@
 	return r, nil
 }
 
-// Configure takes other settings while requests are in flight, or returns a *SettingsError and changes
-// nothing. What tells one class from another has to stay.
+// Configure replaces the settings while requests are in flight, or returns a *SettingsError and changes
+// nothing. The classes must keep their order, names, accesses and idempotencies.
 func (r *Router) Configure(s Settings) error {
 	if err := s.validate(); err != nil {
 		return err
 	}
-	isSame := func(a, b Class) bool {
+	isSameClass := func(a, b Class) bool {
 		return a.Name == b.Name && a.Access == b.Access && a.Idempotency == b.Idempotency
 	}
-	if !slices.EqualFunc(s.Classes, r.cfg.Classes, isSame) {
+	if !slices.EqualFunc(s.Classes, r.cfg.Classes, isSameClass) {
 		return &SettingsError{Field: "Classes", Reason: "the classes are others"}
 	}
 	for i := range r.classes {
@@ -159,7 +163,7 @@
 	return nil
 }
 
-// defaultTightestBound counts where no class has a shorter staleness bound.
+// defaultTightestBound is the tightest staleness bound if no class has a smaller one.
 const defaultTightestBound = time.Second
 
 func (s *Settings) tightestBound() time.Duration {
@@ -172,7 +176,7 @@
 	return tightest
 }
 
-// Step takes the events of one moment and returns what to do. The actions are valid until the next call.
+// Step handles the events of one moment and returns the actions to take. They are valid until the next call.
 func (r *Router) Step(now time.Duration, events []Event) []Action {
 	r.now, r.actions = max(now, r.now), r.actions[:0]
 	for _, event := range events {
@@ -185,8 +189,8 @@
 	return r.actions
 }
 
-// handle gives an event to the decisions that it concerns. First bytes, timers and peers' messages
-// concern none.
+// handle passes an event to the code that it concerns. First bytes, timers and messages from peers need no
+// handling.
 func (r *Router) handle(event Event) {
 	switch e := event.(type) {
 	case TargetsChanged:
@@ -212,8 +216,7 @@
 
 func (r *Router) emit(a Action) { r.actions = append(r.actions, a) }
 
-// InactiveSince returns since when a host takes nothing new; ok is false for one that does, or that is
-// not known.
+// InactiveSince returns since when a host gets no new work; ok is false if it may get some, or is not known.
 func (r *Router) InactiveSince(host string) (at time.Duration, ok bool) {
 	m := r.members[host]
 	if m == nil || m.active {
@@ -228,10 +231,10 @@
 	return m != nil && m.active
 }
 
-// smooth moves a mean towards a sample, by one part in span.
+// smooth adds a sample to an exponentially weighted moving average: it moves the mean by 1/span towards it.
 func smooth(mean *float64, sample, span float64) { *mean += (sample - *mean) / span }
 
-// smoothLatency returns a mean latency after one more sample; the first is taken as it is.
+// smoothLatency returns a smoothed latency after one more sample; the first sample is taken as it is.
 func smoothLatency(mean, sample time.Duration) time.Duration {
 	mean = cmp.Or(mean, sample)
 	return mean + (sample-mean)/latencySpan
--- a/routing/state.go
+++ b/routing/state.go
@@ -6,47 +6,48 @@
 	"time"
 )
 
-// HostState is what is worth keeping of one host when its router ends. Ages count back from the moment of
-// ExportState, or from now where it is given to ImportState.
+// HostState is what a router hands to its next start about one host. Ages count back from the time of the
+// call to ExportState or ImportState.
 type HostState struct {
 	Host       string
 	Group      uint64
-	Started    time.Duration // of the process that all of this was seen of; 0: long ago
-	Limit      float64       // in-flight limit that answers had led to
+	Started    time.Duration // start of the process that the rest was observed of; 0: long ago
+	Limit      float64       // in-flight limit that its answers had led to
 	Score      float64       // outlier score
 	Lag        time.Duration // how far behind it was when its position was last confirmed; below 0: not known
 	LagAge     time.Duration
 	WasPrimary bool          // the last evidence of its role was that of a primary
-	RoleAge    time.Duration // of that evidence
+	RoleAge    time.Duration // age of that evidence
 }
 
-// ClassState is what is usual for a class.
+// ClassState holds the usual latency and service time of a class.
 type ClassState struct {
 	Name                 string
 	Latency, ServiceTime time.Duration
 }
 
-// RouterState is what a router can give to its next start.
+// RouterState is what a router can hand to its next start.
 type RouterState struct {
 	Hosts          []HostState
 	Classes        []ClassState
-	TrustPositions bool // only for seeing the checker of stale reads fail: take positions as proven
+	TrustPositions bool // take positions as proven; only to see that the checker of stale reads fails then
 }
 
-// restoredState is what ImportState left for hosts that are not listed yet.
+// restoredState is what ImportState was given for hosts that are not listed yet.
 type restoredState struct {
 	hosts          map[string]HostState
 	trustPositions bool
 }
 
-// restoredFacts are what ImportState left for a member. They prove nothing; see ImportState.
+// restoredFacts are what ImportState was given about a member. They prove nothing; see ImportState.
 type restoredFacts struct {
 	restoredLimit float64
 	restoredLag   time.Duration
 	wasPrimary    bool
 }
 
-// ExportState returns what is worth keeping, hosts in order. Clients, sessions and positions are not part of it.
+// ExportState returns what the next start can use, sorted by host. Clients, sessions and positions are not
+// part of it.
 func (r *Router) ExportState(now time.Duration) (s RouterState) {
 	r.now = max(now, r.now)
 	for _, m := range r.members {
@@ -70,10 +71,10 @@
 	return s
 }
 
-// ImportState takes facts that have been weighed by their age. They make the router more careful at once, as hosts come
-// to be listed: a low limit, failures, a start that was seen. It becomes less careful by proof alone: a high limit is
-// taken up again as timely answers come, a primary is only the first to be asked with a write, and a lag says whom to
-// probe; a position is never taken from here.
+// ImportState takes facts that the caller has weighted by their age. Facts that call for more care apply as
+// soon as their host is listed: a low limit, failures, a start that was seen. The others only prepare for new
+// proof: a high limit is restored as timely answers come, the former primary is the first member that a write
+// tries, and a lag ranks the member for probes. A position is never restored, except with TrustPositions.
 func (r *Router) ImportState(now time.Duration, s RouterState) {
 	r.now = max(now, r.now)
 	r.restored = restoredState{hosts: map[string]HostState{}, trustPositions: s.TrustPositions}
@@ -92,7 +93,8 @@
 	}
 }
 
-// restore gives a member what was kept of it, once: a host that started again since, or holds other data, is another.
+// restore gives a member, once, what was kept about its host. What was kept is discarded if the host has
+// started again since, or holds other data.
 func (r *Router) restore(m *member) {
 	h, ok := r.restored.hosts[m.host]
 	if !ok {
