--- a/routing/benchmark_test.go
+++ b/routing/benchmark_test.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
-// largeHarness is a router that knows so many hosts, in groups of four, with all positions known.
+// largeHarness returns a router that knows the given number of hosts, in groups of four, and its endpoint list.
 func largeHarness(b testing.TB, hosts int) (*harness, []Target) {
 	s := settings()
 	s.RouterCount = 80
-	var list []Target
+	var targets []Target
 	for i := range hosts {
-		list = append(list, Target{Host: fmt.Sprint("h", i), Group: uint64(i / 4), Primary: i%4 == 0})
+		targets = append(targets, Target{Host: fmt.Sprint("h", i), Group: uint64(i / 4), Primary: i%4 == 0})
 	}
-	return startHarness(b, s, list...), list
+	return startHarness(b, s, targets...), targets
 }
 
-// One read from its arrival to its answer costs the same however many hosts there are beside its group.
+// BenchmarkDecision measures one read from its arrival to its answer. Its cost must not depend on the number of hosts
+// outside its group.
 func BenchmarkDecision(b *testing.B) {
 	for _, hosts := range []int{12, 120, 1000} {
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
@@ -33,15 +34,15 @@
 	}
 }
 
-// One round of upkeep with ten requests held, for want of anybody to serve them.
+// BenchmarkTick measures a tick with ten queued requests that no member can serve.
 func BenchmarkTick(b *testing.B) {
 	for _, hosts := range []int{12, 120, 1000} {
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
-			g, list := largeHarness(b, hosts)
+			g, targets := largeHarness(b, hosts)
 			for i := 4; i < 8; i++ { // group 1
-				list[i].Draining = true
+				targets[i].Draining = true
 			}
-			g.step(TargetsChanged{Targets: list[4:8]})
+			g.step(TargetsChanged{Targets: targets[4:8]})
 			for range 10 {
 				g.request(atMostOnceWrite, RequestArrived{TimeRemaining: 10000 * time.Hour})
 			}
@@ -52,15 +53,15 @@
 	}
 }
 
-// One update of the list that changes one host.
+// BenchmarkListUpdate measures an update of the endpoint list that changes one host.
 func BenchmarkListUpdate(b *testing.B) {
 	for _, hosts := range []int{12, 120, 1000} {
 		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
-			g, list := largeHarness(b, hosts)
+			g, targets := largeHarness(b, hosts)
 			for b.Loop() {
 				g.now += ms
-				list[1].Draining = !list[1].Draining
-				g.step(TargetsChanged{Targets: list[1:2]})
+				targets[1].Draining = !targets[1].Draining
+				g.step(TargetsChanged{Targets: targets[1:2]})
 			}
 		})
 	}
--- a/routing/outliers_test.go
+++ b/routing/outliers_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Fast errors keep few requests in flight; the draw must not take that for idleness.
+// A member that fails fast has few requests in flight. The power of two choices must not prefer it for that.
 func TestFastErrorsAreNotIdleness(t *testing.T) {
 	g := startHarness(t, settings(), shard()...)
 	late := 0
 	for i := range 200 {
 		g.now += 20 * ms
-		id, as := g.request(eventualRead, RequestArrived{})
+		id, actions := g.request(eventualRead, RequestArrived{})
 		for attempt := 0; ; attempt++ {
-			sent, host := actionsOf(ActSend, as)
+			sent, host := actionsOf(ActSend, actions)
 			if len(sent) == 0 {
 				break
 			}
@@ -24,7 +24,7 @@
 			if host == "a" {
 				code = ServerError
 			}
-			as = g.outcome(id, attempt, code, Replica)
+			actions = g.outcome(id, attempt, code, Replica)
 		}
 	}
 	if late > 15 {
@@ -38,8 +38,8 @@
 	late := 0
 	for i := range 200 {
 		g.now += 20 * ms
-		id, as := g.request(eventualRead, RequestArrived{})
-		_, host := actionsOf(ActSend, as)
+		id, actions := g.request(eventualRead, RequestArrived{})
+		_, host := actionsOf(ActSend, actions)
 		if host != "a" {
 			g.outcome(id, 0, OK, Replica)
 		} else if i >= 50 {
@@ -51,12 +51,12 @@
 	}
 }
 
-// Guards against replicas left out for seconds since some answers of theirs were spoilt, as any host's may be; and
-// against a spoilt answer taken for proof that nothing ran.
+// Guards against ejecting a replica for seconds because of single malformed answers, which any host may give, and
+// against taking a malformed answer for proof that nothing ran.
 func TestOneMalformedAnswerEjectsNoHost(t *testing.T) {
 	g := startHarness(t, settings(), shard()...)
 	for range 4 {
-		g.now += 4 * time.Second // long enough ago for the next attempt to weigh most
+		g.now += 4 * time.Second // so long after the last score that the next has the most weight
 		g.reportPositions(Replica, 10*ms, "a", "b", "c")
 		for range 8 {
 			id, _ := g.request(boundedRead, RequestArrived{})
@@ -64,49 +64,49 @@
 		}
 		g.now += 4 * time.Second
 		g.reportPositions(Replica, 10*ms, "a", "b", "c")
-		id, as := g.request(boundedRead, RequestArrived{})
-		_, host := actionsOf(ActSend, as)
-		as = g.outcome(id, 0, Malformed, Unknown)
-		if again, other := actionsOf(ActSend, as); len(again) != 1 || other == host {
-			t.Errorf("it is safe to repeat: %v", as)
+		id, actions := g.request(boundedRead, RequestArrived{})
+		_, host := actionsOf(ActSend, actions)
+		actions = g.outcome(id, 0, Malformed, Unknown)
+		if again, other := actionsOf(ActSend, actions); len(again) != 1 || other == host {
+			t.Errorf("a read that got a malformed answer is not retried elsewhere: %v", actions)
 		}
 		g.outcome(id, 1, OK, Unknown)
 		if m := g.c.members[host]; !g.c.isHealthy(m) {
-			t.Errorf("%s is left out at a cost of %.2f", host, g.c.outlierScore(m))
+			t.Errorf("%s is ejected at a score of %.2f", host, g.c.outlierScore(m))
 		}
 	}
-	id, as := g.request(atMostOnceWrite, RequestArrived{})
-	if _, host := actionsOf(ActSend, as); host != "p" {
-		t.Fatal(as)
+	id, actions := g.request(atMostOnceWrite, RequestArrived{})
+	if _, host := actionsOf(ActSend, actions); host != "p" {
+		t.Fatal(actions)
 	}
-	as = g.outcome(id, 0, Malformed, Unknown)
-	if fails, _ := actionsOf(ActFail, as); len(fails) != 1 || len(as) != 1 {
-		t.Errorf("it may have run: %v", as)
+	actions = g.outcome(id, 0, Malformed, Unknown)
+	if fails, _ := actionsOf(ActFail, actions); len(fails) != 1 || len(actions) != 1 {
+		t.Errorf("a write that got a malformed answer may have run, and must only fail: %v", actions)
 	}
 }
 
-// Guards against a replica that counts as silent while all it has is a long query: it answers others as ever.
-// A costly request is lost at any host, and at a slow one often: a single one must not leave the host idle for
-// seconds while others queue. Three in a row do.
+// A costly request may get no answer at any host, and at a slow one often. A single one must not eject the host for
+// seconds while requests queue for others. Three in a row do.
 func TestOneLostAnswerEjectsNoHost(t *testing.T) {
 	g := startHarness(t, settings(), shard()[:2]...)
 	g.reportPositions(Primary, 0, "p")
 	a := g.c.members["a"]
 	for lost := 1; lost <= 3; lost++ {
 		g.reportPositions(Replica, 10*ms, "a")
-		id, as := g.request(boundedRead, RequestArrived{})
-		if _, host := actionsOf(ActSend, as); host != "a" {
-			t.Fatalf("after %d lost answers a read went to %q: cost %.2f", lost-1, host, g.c.outlierScore(a))
+		id, actions := g.request(boundedRead, RequestArrived{})
+		if _, host := actionsOf(ActSend, actions); host != "a" {
+			t.Fatalf("after %d lost answers a read went to %q: score %.2f", lost-1, host, g.c.outlierScore(a))
 		}
 		g.now += 585 * ms
 		g.step(AttemptEnded{ID: id, Code: NoAnswer, Final: true, Elapsed: 585 * ms})
 		if want := lost < 3; g.c.isHealthy(a) != want {
-			t.Errorf("sound after %d lost answers: %v, cost %.2f", lost, !want, g.c.outlierScore(a))
+			t.Errorf("healthy after %d lost answers: %v, score %.2f", lost, !want, g.c.outlierScore(a))
 		}
 	}
 }
 
-func TestLongWorkIsNoSilence(t *testing.T) {
+// Guards against a replica that counts as silent although all it has in flight is a long query.
+func TestLongQueryDoesNotMakeAMemberSilent(t *testing.T) {
 	g := startHarness(t, settings(), shard()...)
 	g.reportPositions(Replica, 10*ms, "a", "b", "c")
 	for range 30 {
@@ -115,8 +115,8 @@
 		id, _ = g.request(sessionRead, RequestArrived{})
 		g.outcome(id, 0, OK, Unknown)
 	}
-	_, as := g.request(eventualRead, RequestArrived{})
-	_, host := actionsOf(ActSend, as)
+	_, actions := g.request(eventualRead, RequestArrived{})
+	_, host := actionsOf(ActSend, actions)
 	m := g.c.members[host]
 	if g.now += 3 * g.c.classes[eventualRead].latency; g.c.isSilent(m) {
 		t.Errorf("silent after %v, while such work takes %v", g.now-m.waitingSince, g.c.classes[eventualRead].latency)
@@ -125,24 +125,24 @@
 		g.request(sessionRead, RequestArrived{})
 	}
 	if !g.c.isSilent(m) {
-		t.Error("short work lies there too")
+		t.Error("with a short request in flight too, the member must count as silent")
 	}
 	if g.now += 2 * g.c.classes[eventualRead].latency; !g.c.isSilent(m) {
-		t.Error("even for long work it is too long")
+		t.Error("after so long, the member must count as silent even with a long query")
 	}
 }
 
-// symptoms are the kinds of trouble as one router sees them: what an attempt at a bad host comes to. Half of the
-// replicas are bad; the reads must move to the others, and come back when the trouble is over.
+// Each case is a fault as one router sees it: how an attempt at a faulty host ends. Half of the replicas are faulty.
+// Reads must move to the others, and come back when the fault is over.
 func TestFaultsMoveReadsToHealthyReplicas(t *testing.T) {
-	turn := 0
-	for _, k := range []struct {
-		name  string
-		bad   func() (Code, Role, time.Duration)
-		probe Code
-		lag   time.Duration // of the good replicas
-		class int
-		most  float64 // share of reads at bad hosts
+	calls := 0
+	for _, tc := range []struct {
+		name          string
+		faultyOutcome func() (Code, Role, time.Duration)
+		probe         Code
+		lag           time.Duration // of the healthy replicas
+		class         int
+		maxFraction   float64 // greatest fraction of the attempts at faulty hosts
 	}{
 		{"one-sided: no answer, probes lost", func() (Code, Role, time.Duration) { return NoAnswer, Unknown, 385 * ms }, NoAnswer, 0, boundedRead, 0.2},
 		{"one-sided: no answer, probes pass", func() (Code, Role, time.Duration) { return NoAnswer, Unknown, 385 * ms }, OK, 0, boundedRead, 0.3},
@@ -150,24 +150,24 @@
 		{"one-sided: reset", func() (Code, Role, time.Duration) { return ConnectionLost, Unknown, 20 * ms }, OK, 0, eventualRead, 0.3},
 		{"slow path", func() (Code, Role, time.Duration) { return OK, Replica, 350 * ms }, OK, 0, eventualRead, 0.35},
 		{"fast errors", func() (Code, Role, time.Duration) { return ServerError, Replica, ms }, OK, 0, eventualRead, 0.3},
-		{"ageing: ever slower", func() (Code, Role, time.Duration) { turn++; return OK, Replica, time.Duration(100+10*turn) * ms }, OK, 0, eventualRead, 0.4},
+		{"ageing: ever slower", func() (Code, Role, time.Duration) { calls++; return OK, Replica, time.Duration(100+10*calls) * ms }, OK, 0, eventualRead, 0.4},
 		{"flapping, the list is silent", func() (Code, Role, time.Duration) {
-			if turn++; turn/3%2 == 0 {
+			if calls++; calls/3%2 == 0 {
 				return NoConnection, Unknown, ms
 			}
 			return OK, Replica, 50 * ms
 		}, OK, 0, eventualRead, 0.4},
 		{"refused while the others lag", func() (Code, Role, time.Duration) { return NoConnection, Unknown, ms }, NoConnection, time.Second, boundedRead, 0.2},
 	} {
-		turn = 0
+		calls = 0
 		s := settings()
 		s.RouterCount, s.ConnIdleTimeout = 300, 30*time.Second
 		hosts := append(shard(), Target{Host: "d", Group: 1})
 		g := startHarness(t, s, hosts...)
 		count, all, failing := map[string]int{}, 0, true
-		var carry func(as []Action)
-		carry = func(as []Action) {
-			for _, a := range as {
+		var execute func(actions []Action)
+		execute = func(actions []Action) {
+			for _, a := range actions {
 				bad := failing && (a.Host == "a" || a.Host == "b")
 				switch a.Kind {
 				case ActSend:
@@ -175,16 +175,16 @@
 					all++
 					code, role, elapsed := answerQuickly(a.Host, 0)
 					if bad {
-						code, role, elapsed = k.bad()
+						code, role, elapsed = tc.faultyOutcome()
 					}
 					n := len(g.c.requests[a.ID].attempts) - 1
-					carry(g.step(AttemptEnded{ID: a.ID, Attempt: n, Code: code, Role: role, Final: code == OK, Elapsed: elapsed}))
+					execute(g.step(AttemptEnded{ID: a.ID, Attempt: n, Code: code, Role: role, Final: code == OK, Elapsed: elapsed}))
 				case ActProbe:
-					e := ProbeEnded{Host: a.Host, Report: Report{Position: g.now - k.lag, Role: Replica}}
-					if bad && k.probe != OK {
-						e.Code, e.Report = k.probe, Report{}
+					e := ProbeEnded{Host: a.Host, Report: Report{Position: g.now - tc.lag, Role: Replica}}
+					if bad && tc.probe != OK {
+						e.Code, e.Report = tc.probe, Report{}
 					}
-					carry(g.step(e))
+					execute(g.step(e))
 				}
 			}
 		}
@@ -192,25 +192,25 @@
 			count, all = map[string]int{}, 0
 			for range n {
 				g.now += 500 * ms
-				_, as := g.request(k.class, RequestArrived{})
-				carry(as)
+				_, actions := g.request(tc.class, RequestArrived{})
+				execute(actions)
 				for range 3 {
-					carry(g.advance(probeAnswerWait))
+					execute(g.advance(probeAnswerWait))
 				}
 			}
 		}
 		run(60)
-		if got := float64(count["a"]+count["b"]) / float64(all); got > k.most {
-			t.Errorf("%s: %.2f of the attempts went to the bad half, %v", k.name, got, count)
+		if got := float64(count["a"]+count["b"]) / float64(all); got > tc.maxFraction {
+			t.Errorf("%s: %.2f of the attempts went to the faulty half, %v", tc.name, got, count)
 		}
-		if k.lag > s.Classes[boundedRead].StalenessBound && count["p"] < 40 {
-			t.Errorf("%s: the primary got %v", k.name, count)
+		if tc.lag > s.Classes[boundedRead].StalenessBound && count["p"] < 40 {
+			t.Errorf("%s: the primary got %v", tc.name, count)
 		}
 		failing = false
 		g.now += scoreRetention * time.Second
 		run(120)
-		if k.lag == 0 && count["a"]+count["b"] < 12 {
-			t.Errorf("%s: after the trouble the reads went %v", k.name, count)
+		if tc.lag == 0 && count["a"]+count["b"] < 12 {
+			t.Errorf("%s: after the fault the reads went to %v", tc.name, count)
 		}
 	}
 }
--- a/routing/policy_test.go
+++ b/routing/policy_test.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	maxModuleLines = 300 // not blank, of one policy file; comments count
-	maxLineWidth   = 110 // characters, a tab for four
+	maxModuleLines = 300 // of a policy file, without blank lines; comments count
+	maxLineWidth   = 110 // in characters; a tab counts for four
 )
 
 // policyFiles are the files that the deploy file names as the decision logic.
@@ -55,7 +55,8 @@
 	}
 }
 
-// Every file of the package is policy but for those that hold no rule: interface, construction and exported state.
+// Every file of the package is listed as policy, except those that decide nothing: the interface, the construction of
+// a Router and its exported state.
 func TestPolicyNamesEveryFileWithRules(t *testing.T) {
 	all, err := filepath.Glob("*.go")
 	require.NoError(t, err)
@@ -73,7 +74,7 @@
 	require.ElementsMatch(t, want, got)
 }
 
-// The page of tuned constants names each one with the value that the code gives it.
+// docs/tuning.md lists each tuned constant with the value that it has in the code.
 func TestTuningPageFollowsTheConstants(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "docs", "tuning.md"))
 	require.NoError(t, err)
--- a/routing/primary_test.go
+++ b/routing/primary_test.go
@@ -7,20 +7,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Without a list that names the primary one write at a time searches; fresh reads wait for what it finds.
-func TestSearchAndHold(t *testing.T) {
+// Without an endpoint list that names the primary, one write at a time searches for it, and strong reads wait until it
+// is found.
+func TestOneWriteSearchesForThePrimary(t *testing.T) {
 	s := settings()
 	s.ListNamesPrimary = false
 	g := startHarness(t, s, shard()...)
-	_, as := g.request(strongRead, RequestArrived{})
-	if sent, _ := actionsOf(ActSend, as); len(sent) != 0 {
-		t.Fatalf("fresh read with no primary known: %v", as)
+	_, actions := g.request(strongRead, RequestArrived{})
+	if sent, _ := actionsOf(ActSend, actions); len(sent) != 0 {
+		t.Fatalf("a strong read was sent with no primary known: %v", actions)
 	}
-	id, as := g.request(atMostOnceWrite, RequestArrived{})
-	_, first := actionsOf(ActSend, as)
-	_, as = g.request(atMostOnceWrite, RequestArrived{})
-	if sent, _ := actionsOf(ActSend, as); len(sent) != 0 {
-		t.Errorf("a second write searched too: %v", as)
+	id, actions := g.request(atMostOnceWrite, RequestArrived{})
+	_, first := actionsOf(ActSend, actions)
+	_, actions = g.request(atMostOnceWrite, RequestArrived{})
+	if sent, _ := actionsOf(ActSend, actions); len(sent) != 0 {
+		t.Errorf("a second write searched too: %v", actions)
 	}
 	seen := map[string]bool{first: true}
 	for i := range 3 {
@@ -28,10 +29,10 @@
 		seen[host] = true
 	}
 	if len(seen) != 4 {
-		t.Errorf("a round of misses went to %v", seen)
+		t.Errorf("a round of the search went to %v", seen)
 	}
 	if sent, _ := actionsOf(ActSend, g.outcome(id, 3, Misdirected, Replica)); len(sent) != 0 {
-		t.Errorf("after a round of misses the write was sent on: %v", sent)
+		t.Errorf("after a round that found no primary the write was sent again: %v", sent)
 	}
 	g.now += 20 * ms
 	sent, host := actionsOf(ActSend, g.reportPositions(Primary, 0, "b"))
@@ -40,7 +41,8 @@
 	}
 }
 
-// A primary that errs often is still the only one to take writes; it is not starved to rare trials.
+// A primary that often fails is still the only member that can take writes, so it gets all of them and not just
+// occasional trials like other outliers.
 func TestOutlierPrimaryGetsWrites(t *testing.T) {
 	g := startHarness(t, settings(), shard()...)
 	for range 10 {
@@ -49,16 +51,16 @@
 		g.outcome(id, 0, ServerError, Primary)
 	}
 	if g.c.isHealthy(g.c.members["p"]) {
-		t.Fatal("ten errors in a row leave no suspicion")
+		t.Fatal("ten errors in a row do not make the primary an outlier")
 	}
-	_, as := g.request(atMostOnceWrite, RequestArrived{})
-	if _, host := actionsOf(ActSend, as); host != "p" {
-		t.Errorf("a write led to %v", as)
+	_, actions := g.request(atMostOnceWrite, RequestArrived{})
+	if _, host := actionsOf(ActSend, actions); host != "p" {
+		t.Errorf("a write led to %v", actions)
 	}
 }
 
-// A router that sees a write of a group every few seconds would search for its new primary for as long. The list's
-// word is older than it comes: it goes before nothing that was seen in the meantime.
+// The endpoint list names a new primary: a router that sees a write of a group only every few seconds would need that
+// long to find it by search. An entry may be old when it arrives, so it does not override evidence seen since.
 func TestTheListNamesANewPrimary(t *testing.T) {
 	named := []Target{{Host: "a", Group: 1, Primary: true}}
 	g := startHarness(t, settings(), shard()...)
@@ -68,8 +70,8 @@
 	g.step(TargetsChanged{Targets: []Target{{Host: "p", Group: 1, Primary: true, Draining: true}}})
 	require.Nil(t, g.c.groups[1].primary())
 	g.step(TargetsChanged{Targets: named})
-	_, as := g.request(atMostOnceWrite, RequestArrived{})
-	require.Equal(t, "a", as[0].Host)
+	_, actions := g.request(atMostOnceWrite, RequestArrived{})
+	require.Equal(t, "a", actions[0].Host)
 
 	g = startHarness(t, settings(), shard()...)
 	g.now += 20 * second
@@ -77,15 +79,15 @@
 	g.now += maxListDelay - second
 	g.step(TargetsChanged{Targets: named})
 	require.Equal(t, "p", g.c.groups[1].primary().host, "a was seen as a replica since")
-	g.now += 20 * second // nor does the same word count as new when the entry changes for another reason
+	g.now += 20 * second // an entry that named it before is no new evidence when it is sent again
 	g.reportPositions(Replica, 0, "a")
 	g.now += 20 * second
 	g.step(TargetsChanged{Targets: named})
 	require.Equal(t, "p", g.c.groups[1].primary().host)
 }
 
-// The list's word is seconds old: a host that it names may have lost the role again. One that said itself that it is a
-// replica is asked before a read rests on that word; a write finds out by itself.
+// An entry of the endpoint list may be seconds old, and the host that it names may have lost the role again. A host
+// that has reported itself a replica is probed before a read relies on the entry; a write finds out by itself.
 func TestAReplicaNamedPrimaryIsProbedBeforeStrongReads(t *testing.T) {
 	for _, then := range []Role{Primary, Replica} {
 		g := startHarness(t, settings(), shard()...)
@@ -93,14 +95,14 @@
 		g.step(TargetsChanged{Targets: []Target{{Host: "p", Group: 1, Removed: true}}})
 		g.now += 20 * time.Second
 		g.step(TargetsChanged{Targets: []Target{{Host: "a", Group: 1, Primary: true}}})
-		id, as := g.request(strongRead, RequestArrived{})
-		sends, _ := actionsOf(ActSend, as)
-		require.Empty(t, sends, "a read on hearsay")
-		probes, host := actionsOf(ActProbe, as)
+		id, actions := g.request(strongRead, RequestArrived{})
+		sends, _ := actionsOf(ActSend, actions)
+		require.Empty(t, sends, "a read relied on an unconfirmed entry of the endpoint list")
+		probes, host := actionsOf(ActProbe, actions)
 		require.NotEmpty(t, probes)
 		require.Contains(t, []string{"a", "b", "c"}, host)
-		as = g.reportPositions(then, 0, "a")
-		sends, host = actionsOf(ActSend, as)
+		actions = g.reportPositions(then, 0, "a")
+		sends, host = actionsOf(ActSend, actions)
 		if then == Primary {
 			require.Equal(t, "a", host)
 			require.Equal(t, id, sends[0].ID)
@@ -113,15 +115,15 @@
 	g.step(TargetsChanged{Targets: []Target{{Host: "p", Group: 1, Removed: true}}})
 	g.now += 20 * time.Second
 	g.step(TargetsChanged{Targets: []Target{{Host: "a", Group: 1, Primary: true}}})
-	_, as := g.request(atMostOnceWrite, RequestArrived{})
-	_, host := actionsOf(ActSend, as)
+	_, actions := g.request(atMostOnceWrite, RequestArrived{})
+	_, host := actionsOf(ActSend, actions)
 	require.Equal(t, "a", host)
-	_, as = g.request(boundedRead, RequestArrived{}) // nor do reads that fall back on the primary
-	sends, _ := actionsOf(ActSend, as)
+	_, actions = g.request(boundedRead, RequestArrived{}) // reads that fall back on the primary do not rely on the entry either
+	sends, _ := actionsOf(ActSend, actions)
 	require.Empty(t, sends)
 }
 
-// A read whose host lost the role while the attempt waited for its connection.
+// A read is not written to a host that lost the primary role while the attempt waited for its connection.
 func TestRevalidateChecksTheRole(t *testing.T) {
 	g := startHarness(t, settings(), shard()...)
 	ids := g.sentToPrimary(2)
--- a/routing/replica_test.go
+++ b/routing/replica_test.go
@@ -7,13 +7,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The draw of two prefers the replica with fewer of this router's requests in flight.
-func TestDrawPrefersLessBusy(t *testing.T) {
+// The power of two choices prefers the replica with fewer of this router's requests in flight.
+func TestPowerOfTwoChoicesPrefersLessBusy(t *testing.T) {
 	g := startHarness(t, settings(), shard()[:3]...)
 	count := map[string]int{}
 	for range 2 * initialLimit {
-		_, as := g.request(eventualRead, RequestArrived{})
-		_, host := actionsOf(ActSend, as)
+		_, actions := g.request(eventualRead, RequestArrived{})
+		_, host := actionsOf(ActSend, actions)
 		count[host]++
 	}
 	if count["a"] != initialLimit || count["b"] != initialLimit {
@@ -21,56 +21,57 @@
 	}
 }
 
-// Held requests must not be sprayed at a member that refuses connects while good ones have no room.
+// Queued requests must not be sent to a member that refuses connections while the healthy ones are at capacity.
 func TestQueuedReadsAvoidOutliers(t *testing.T) {
 	g := startHarness(t, settings(), shard()[:3]...)
-	for { // a refuses until it is a suspect
-		id, as := g.request(eventualRead, RequestArrived{})
-		if _, host := actionsOf(ActSend, as); host == "a" {
+	for { // until a has refused a connection, and is an outlier
+		id, actions := g.request(eventualRead, RequestArrived{})
+		if _, host := actionsOf(ActSend, actions); host == "a" {
 			g.outcome(id, 0, NoConnection, Unknown)
 			break
 		}
 		g.outcome(id, 0, OK, Replica)
 	}
 	sends := 0
-	for range 14 { // less than it takes for the other to look silent
-		_, as := g.request(eventualRead, RequestArrived{})
-		for _, a := range append(as, g.advance(10*ms)...) {
+	for range 14 { // for less time than it takes the other to count as silent
+		_, actions := g.request(eventualRead, RequestArrived{})
+		for _, a := range append(actions, g.advance(10*ms)...) {
 			if a.Kind == ActSend && a.Host == "a" {
 				sends++
 			}
 		}
 	}
 	if sends > 0 {
-		t.Errorf("a suspect got %d of 14 reads", sends)
+		t.Errorf("an outlier got %d of 14 reads", sends)
 	}
 }
 
-// Where replicas check reads an unproven one is tried once; its refusal sends the read to the primary.
+// If replicas check the position of reads themselves, one without a proven position is tried once. If it rejects the
+// read, the read goes to the primary.
 func TestReplicasThatCheck(t *testing.T) {
 	for _, checks := range []StalenessCheck{CheckRejects, CheckWaits} {
 		s := settings()
 		s.StalenessCheck = checks
 		g := startHarness(t, s, shard()...)
-		id, as := g.request(boundedRead, RequestArrived{})
-		if _, host := actionsOf(ActSend, as); host == "p" || host == "" {
-			t.Errorf("checks %d: a read with no position known led to %v", checks, as)
+		id, actions := g.request(boundedRead, RequestArrived{})
+		if _, host := actionsOf(ActSend, actions); host == "p" || host == "" {
+			t.Errorf("checks %d: a read with no position known led to %v", checks, actions)
 		}
 		if _, host := actionsOf(ActSend, g.outcome(id, 0, Misdirected, Replica)); host != "p" {
-			t.Errorf("checks %d: a refused read went to %q", checks, host)
+			t.Errorf("checks %d: a read that the replica rejected went to %q", checks, host)
 		}
 	}
 }
 
-// Guards against long queries that stop the log on every replica: they go to the one that is furthest behind, so that
-// others catch up, and to all while no replica lags.
+// Guards against long queries that stop log replay on every replica. They go to the replica that is furthest behind, so
+// that the others catch up, and to all replicas while none lags.
 func TestEventualReadsSpareCurrentReplicas(t *testing.T) {
 	g := startHarness(t, settings(), shard()...)
 	went := func() map[string]int {
 		hosts := map[string]int{}
 		for range 40 {
-			id, as := g.request(eventualRead, RequestArrived{})
-			_, host := actionsOf(ActSend, as)
+			id, actions := g.request(eventualRead, RequestArrived{})
+			_, host := actionsOf(ActSend, actions)
 			hosts[host]++
 			g.outcome(id, 0, OK, Unknown)
 		}
@@ -87,15 +88,15 @@
 	if hosts := went(); hosts["c"] != 40 {
 		t.Errorf("c is furthest behind: %v", hosts)
 	}
-	for range initialLimit { // it has no room: the others serve
+	for range initialLimit { // c is at its limit: the others serve
 		g.request(eventualRead, RequestArrived{})
 	}
-	if _, as := g.request(eventualRead, RequestArrived{}); len(as) == 0 || as[0].Kind != ActSend || as[0].Host == "c" {
-		t.Errorf("c is full: %v", as)
+	if _, actions := g.request(eventualRead, RequestArrived{}); len(actions) == 0 || actions[0].Kind != ActSend || actions[0].Host == "c" {
+		t.Errorf("c is at its limit: %v", actions)
 	}
 }
 
-// Guards against reads that are refused beside a primary with room: they may take most of it, not all.
+// Guards against rejecting reads while the primary has capacity. Reads may take most of its limit, but not all.
 func TestReadsMayTakeMostOfThePrimary(t *testing.T) {
 	g := startHarness(t, settings(), Target{Host: "p", Group: 1, Primary: true})
 	g.c.members["p"].limit = 20
@@ -103,15 +104,15 @@
 		g.request(sessionRead, RequestArrived{CommitAge: ms})
 	}
 	if n := g.c.members["p"].inFlight; n != 18 {
-		t.Errorf("%d reads are there, 18 of 20 may be", n)
+		t.Errorf("%d reads are in flight at the primary, want 18 of 20", n)
 	}
-	if _, as := g.request(atMostOnceWrite, RequestArrived{}); len(as) == 0 || as[0].Kind != ActSend {
-		t.Errorf("a write finds no room: %v", as)
+	if _, actions := g.request(atMostOnceWrite, RequestArrived{}); len(actions) == 0 || actions[0].Kind != ActSend {
+		t.Errorf("the primary has no capacity left for a write: %v", actions)
 	}
 }
 
-// One lost request leads each router of a large fleet to a suspicion that its few requests take long to clear. Reads
-// that no replica can serve still go to the primary, unless it is silent, as writes do.
+// In a large fleet one lost request makes the primary an outlier for each router, and a router's few requests take long
+// to change that. Reads that no replica can serve still go to the primary, as writes do, unless it is silent.
 func TestReadsGoToAnOutlierPrimaryWhereNobodyElseCanServe(t *testing.T) {
 	s := settings()
 	s.RouterCount, s.Probing.Allowed = 80, false
@@ -125,18 +126,18 @@
 	}
 	p := g.c.members["p"]
 	require.False(t, g.c.isHealthy(p))
-	id, as := g.request(boundedRead, RequestArrived{})
-	require.Equal(t, ActSend, as[0].Kind)
-	require.Equal(t, "p", as[0].Host)
+	id, actions := g.request(boundedRead, RequestArrived{})
+	require.Equal(t, ActSend, actions[0].Kind)
+	require.Equal(t, "p", actions[0].Host)
 	g.now += 10 * second
-	_, as = g.request(boundedRead, RequestArrived{})
+	_, actions = g.request(boundedRead, RequestArrived{})
 	require.True(t, g.c.isSilent(p))
-	for _, a := range as {
+	for _, a := range actions {
 		require.NotEqual(t, ActSend, a.Kind, "a silent primary")
 	}
 	g.outcome(id, 0, OK, Primary)
 
-	g.reportPositions(Replica, 0, "a") // a replica that qualifies is not passed over
-	id, as = g.request(boundedRead, RequestArrived{})
-	require.Equal(t, "a", as[0].Host, id)
+	g.reportPositions(Replica, 0, "a") // a replica that qualifies is preferred
+	id, actions = g.request(boundedRead, RequestArrived{})
+	require.Equal(t, "a", actions[0].Host, id)
 }
--- a/routing/router.go
+++ b/routing/router.go
@@ -4,8 +4,8 @@
 //
 // Writes and strong reads go to the member last seen as primary. Any other read goes to the less loaded
 // of two randomly drawn replicas that qualify, and to the primary when none does. The rest of the package
-// keeps this working when something fails. docs/design.md describes it, and
-// docs/tuning.md explains the constants.
+// keeps this working when something fails. docs/design.md describes how, and docs/tuning.md explains the
+// constants.
 //
 // Each concern of the decisions has its own file: members.go (host state and evidence), primary.go (the
 // search for the primary), replica.go (the choice of a replica), admission.go (admission and limits),
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestNewRejects(t *testing.T) {
-	for name, spoil := range map[string]func(*Settings){
+	for name, invalidate := range map[string]func(*Settings){
 		"no class":    func(s *Settings) { s.Classes = nil },
 		"no router":   func(s *Settings) { s.RouterCount = 0 },
 		"bad index":   func(s *Settings) { s.RouterIndex = 2 },
@@ -16,20 +16,20 @@
 		"no aim":      func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
 	} {
 		s := settings()
-		spoil(&s)
+		invalidate(&s)
 		if _, err := New(s, 1); err == nil {
 			t.Errorf("%s: no error", name)
 		}
 	}
 }
 
-// The ordinary path: where does a first attempt go?
-func TestOrdinaryPath(t *testing.T) {
-	for _, k := range []struct {
+// Where the first attempt of a request goes if nothing has failed.
+func TestFirstAttemptWithoutFaults(t *testing.T) {
+	for _, tc := range []struct {
 		name  string
 		class int
 		token time.Duration
-		age   time.Duration // of the replicas' positions; 0: never heard
+		age   time.Duration // of the replicas' positions; 0: none reported
 		want  string        // "replica", "primary"
 	}{
 		{"write", atMostOnceWrite, 0, ms, "primary"},
@@ -44,22 +44,22 @@
 		{"session without a write", sessionRead, 0, 0, "replica"},
 	} {
 		g := startHarness(t, settings(), shard()...)
-		if k.age > 0 {
-			g.reportPositions(Replica, k.age, "a", "b", "c")
+		if tc.age > 0 {
+			g.reportPositions(Replica, tc.age, "a", "b", "c")
 		}
-		_, as := g.request(k.class, RequestArrived{CommitAge: k.token})
-		for range 2 * maxProbesPerRead { // probes of replicas that might qualify stay unanswered
-			as = append(as, g.advance(probeAnswerWait)...)
+		_, actions := g.request(tc.class, RequestArrived{CommitAge: tc.token})
+		for range 2 * maxProbesPerRead { // probes of replicas that may qualify get no answer
+			actions = append(actions, g.advance(probeAnswerWait)...)
 		}
-		sent, host := actionsOf(ActSend, as)
-		if len(sent) != 1 || (host == "p") != (k.want == "primary") {
-			t.Errorf("%s: sent %v, want one to a %s", k.name, sent, k.want)
+		sent, host := actionsOf(ActSend, actions)
+		if len(sent) != 1 || (host == "p") != (tc.want == "primary") {
+			t.Errorf("%s: sent %v, want one to a %s", tc.name, sent, tc.want)
 		}
 	}
 }
 
-// Odd but legal events change nothing.
-func TestOddEvents(t *testing.T) {
+// Valid events that refer to nothing known, or need no handling, lead to no action.
+func TestUnexpectedEventsChangeNothing(t *testing.T) {
 	g := startHarness(t, settings(), shard()...)
 	id, _ := g.request(atMostOnceWrite, RequestArrived{})
 	g.outcome(id, 0, OK, Primary)
@@ -74,21 +74,21 @@
 		TargetsChanged{Targets: []Target{{Host: "never", Group: 3, Removed: true}}},
 		PeerMessage{},
 	} {
-		if as := g.step(e); len(as) != 0 {
-			t.Errorf("%+v led to %v", e, as)
+		if actions := g.step(e); len(actions) != 0 {
+			t.Errorf("%+v led to %v", e, actions)
 		}
 	}
 	if len(g.c.requests) != 0 {
 		t.Errorf("%d requests are still held", len(g.c.requests))
 	}
-	as := g.step(RequestArrived{ID: "x", Group: 99, TimeRemaining: time.Second})
-	if found, _ := actionsOf(ActReject, as); len(found) != 1 {
-		t.Errorf("a group that no list names led to %v", as)
+	actions := g.step(RequestArrived{ID: "x", Group: 99, TimeRemaining: time.Second})
+	if found, _ := actionsOf(ActReject, actions); len(found) != 1 {
+		t.Errorf("a group that no list names led to %v", actions)
 	}
 }
 
-// play runs a fixed, mixed stretch and checks the invariants on the way.
-func play(t testing.TB, script []byte) []Action {
+// runScript turns the script into events, two bytes for each, and checks the invariants that FuzzStep lists.
+func runScript(t testing.TB, script []byte) []Action {
 	g := startHarness(t, settings(), shard()...)
 	type state struct {
 		class            int
@@ -96,13 +96,13 @@
 		sent             int
 		answered, mayRun bool
 	}
-	reqs, order := map[string]*state{}, []string{}
+	requests, order := map[string]*state{}, []string{}
 	drained := map[string]bool{}
 	var all []Action
-	run := func(as []Action) {
-		all = append(all, as...)
-		for _, a := range as {
-			r := reqs[a.ID]
+	run := func(actions []Action) {
+		all = append(all, actions...)
+		for _, a := range actions {
+			r := requests[a.ID]
 			switch a.Kind {
 			case ActSend:
 				if r.answered {
@@ -112,10 +112,10 @@
 					t.Fatalf("%s: an unsafe write was sent twice", a.ID)
 				}
 				if drained[a.Host] {
-					t.Fatalf("%s: sent to %s, which drains", a.ID, a.Host)
+					t.Fatalf("%s: sent to %s, which is draining", a.ID, a.Host)
 				}
 				if m := g.c.members[a.Host]; r.class == boundedRead && m.primaryAt == 0 && m.position < g.now-300*ms {
-					t.Fatalf("%s: an unproven read at %s", a.ID, a.Host)
+					t.Fatalf("%s: a bounded read went to %s, whose position is not proven", a.ID, a.Host)
 				}
 				r.live[r.sent] = a.Host
 				r.sent++
@@ -124,7 +124,7 @@
 					t.Fatalf("%s: two final answers", a.ID)
 				}
 				if a.Kind == ActReject && r.class >= atMostOnceWrite && r.mayRun {
-					t.Fatalf("%s: a write that may have run was refused", a.ID)
+					t.Fatalf("%s: a write that may have run was rejected", a.ID)
 				}
 				r.answered = true
 			}
@@ -137,7 +137,7 @@
 		case 0, 1, 2:
 			g.ids++
 			id := fmt.Sprint("r", g.ids)
-			reqs[id] = &state{class: x % 6, live: map[int]string{}}
+			requests[id] = &state{class: x % 6, live: map[int]string{}}
 			order = append(order, id)
 			run(g.step(RequestArrived{ID: id, Class: x % 6, Group: 1, CommitAge: time.Duration(x) * ms, TimeRemaining: time.Second}))
 		case 3, 4, 5:
@@ -145,7 +145,7 @@
 				continue
 			}
 			id := order[x%len(order)]
-			r := reqs[id]
+			r := requests[id]
 			for n := range r.sent {
 				if _, ok := r.live[n]; ok {
 					code := Code(int(op+script[i+1]/8) % len(codeNames))
@@ -164,7 +164,7 @@
 			run(g.reportPositions(Role(x%3), time.Duration(x)*ms, h.Host))
 		case 7:
 			h := shard()[x%4]
-			switch x / 4 % 8 { // lists turn quickly, starts lie ahead or go back, hosts leave, change group and return
+			switch x / 4 % 8 { // entries change often: starts in the future or earlier than before, hosts that leave, change group or return
 			case 0, 1:
 				h.Draining = true
 			case 2:
@@ -181,18 +181,19 @@
 		}
 		run(g.advance(5 * ms))
 	}
-	for range 120 { // all that is held ends in time
+	for range 120 { // every queued request ends in time
 		run(g.advance(10 * ms))
 	}
 	for _, id := range order {
-		if r := reqs[id]; !r.answered && len(r.live) == 0 {
+		if r := requests[id]; !r.answered && len(r.live) == 0 {
 			t.Fatalf("%s (class %d) was never answered", id, r.class)
 		}
 	}
 	return all
 }
 
-func script(n int) []byte {
+// randomScript returns n pseudo-random bytes, the same in each call.
+func randomScript(n int) []byte {
 	b, x := make([]byte, n), uint32(12345)
 	for i := range b {
 		x = x*1664525 + 1013904223
@@ -201,21 +202,22 @@
 	return b
 }
 
-// Identical events give identical actions.
+// The same events give the same actions.
 func TestDeterminism(t *testing.T) {
-	if a, b := play(t, script(4000)), play(t, script(4000)); !reflect.DeepEqual(a, b) {
+	if a, b := runScript(t, randomScript(4000)), runScript(t, randomScript(4000)); !reflect.DeepEqual(a, b) {
 		t.Error("two runs over the same events differ")
 	}
 }
 
-// FuzzStep checks: one final answer, no send after it, no second effect, none to a drained member, no unproven read.
+// FuzzStep checks that each request has one final answer and no attempt after it, that an unsafe write is not sent
+// twice, that nothing goes to a drained member, and that no bounded read goes to a replica whose position is unproven.
 func FuzzStep(f *testing.F) {
-	f.Add(script(200))
-	f.Add(script(1000))
-	f.Fuzz(func(t *testing.T, b []byte) { play(t, b[:min(len(b), 4000)]) })
+	f.Add(randomScript(200))
+	f.Add(randomScript(1000))
+	f.Fuzz(func(t *testing.T, b []byte) { runScript(t, b[:min(len(b), 4000)]) })
 }
 
-// Discovery that has to be asked is asked at the start and again after a failure.
+// Where discovery has to be asked, the router subscribes at the start, and again after a failure.
 func TestSubscribes(t *testing.T) {
 	s := settings()
 	s.MustSubscribe = true
@@ -233,7 +235,7 @@
 	}
 }
 
-// Guards against other settings that pull the classes from under the requests that are under way.
+// Guards against new settings that remove the classes of requests in flight.
 func TestConfigure(t *testing.T) {
 	g := startHarness(t, settings(), shard()...)
 	id, _ := g.request(atMostOnceWrite, RequestArrived{})
@@ -244,12 +246,12 @@
 	}
 	g.outcome(id, 0, OK, Primary)
 	g.ids++
-	as := g.step(RequestArrived{ID: "odd", Class: atMostOnceWrite, Group: 9, TimeRemaining: time.Second})
-	if refused, _ := actionsOf(ActReject, as); len(refused) != 1 || refused[0].RetryAfter != 70*ms || g.c.classes[atMostOnceWrite].LatencyObjective != 300*ms {
-		t.Errorf("%v", as)
+	actions := g.step(RequestArrived{ID: "odd", Class: atMostOnceWrite, Group: 9, TimeRemaining: time.Second})
+	if refused, _ := actionsOf(ActReject, actions); len(refused) != 1 || refused[0].RetryAfter != 70*ms || g.c.classes[atMostOnceWrite].LatencyObjective != 300*ms {
+		t.Errorf("%v", actions)
 	}
 	s.Classes = s.Classes[1:]
 	if err := g.c.Configure(s); err == nil {
-		t.Error("other classes were taken")
+		t.Error("settings with other classes were accepted")
 	}
 }
--- a/routing/sessions_test.go
+++ b/routing/sessions_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Remembered sessions: the commit binds later reads, and forgetting it leaves a floor that binds all.
+// A remembered commit is the minimum position of the session's later reads. When it is forgotten, it becomes part of a
+// floor that holds for all sessions.
 func TestSessionsReadTheirWrites(t *testing.T) {
 	s := settings()
 	s.TracksCommits = true
@@ -14,12 +15,12 @@
 	id, _ := g.request(atMostOnceWrite, RequestArrived{SessionKey: 7, HasSessionKey: true})
 	g.step(AttemptEnded{ID: id, Code: OK, Role: Primary, Final: true, Position: g.now, Elapsed: 50 * ms})
 	g.reportPositions(Replica, ms, "a", "b", "c")
-	_, as := g.request(sessionRead, RequestArrived{SessionKey: 7, HasSessionKey: true})
-	if _, host := actionsOf(ActSend, append(as, g.reportPositions(Replica, ms, "a", "b", "c")...)); host == "a" || host == "b" || host == "c" {
-		t.Errorf("a replica behind the session's commit got its read: %v", as)
+	_, actions := g.request(sessionRead, RequestArrived{SessionKey: 7, HasSessionKey: true})
+	if _, host := actionsOf(ActSend, append(actions, g.reportPositions(Replica, ms, "a", "b", "c")...)); host == "a" || host == "b" || host == "c" {
+		t.Errorf("a replica behind the session's commit got its read: %v", actions)
 	}
-	if _, as := g.request(sessionRead, RequestArrived{SessionKey: 8, HasSessionKey: true}); as[0].Host == "p" {
-		t.Errorf("a session without writes was sent to the primary: %v", as)
+	if _, actions := g.request(sessionRead, RequestArrived{SessionKey: 8, HasSessionKey: true}); actions[0].Host == "p" {
+		t.Errorf("a session without writes was sent to the primary: %v", actions)
 	}
 	g = startHarness(t, s, shard()...)
 	commit := func(key uint64) {
--- a/routing/stale_test.go
+++ b/routing/stale_test.go
@@ -7,9 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A host whose data went back behind what it had reported answers a read too old. It gets no further read that needs what it has not,
-// until it reports that it has: a read that must run once would fail there each time.
-func TestAHostWhosePositionWentBackIsBelievedNoMore(t *testing.T) {
+// A host whose data went back behind the position that it had reported answers a read with data that is too old. It gets
+// no further read that needs a later position until it reports one: a read that must run only once would fail there
+// each time.
+func TestPositionThatWentBackIsNotTrusted(t *testing.T) {
 	s := settings()
 	s.Classes[sessionRead].Idempotency = AtMostOnce
 	g := startHarness(t, s, shard()...)
@@ -17,8 +18,8 @@
 	g.reportPositions(Replica, 10*ms, "a")
 	g.reportPositions(Replica, time.Minute, "b", "c")
 	read := func(code Code, role Role, position time.Duration) (to string) {
-		id, as := g.request(sessionRead, RequestArrived{CommitAge: 20 * ms})
-		_, to = actionsOf(ActSend, as)
+		id, actions := g.request(sessionRead, RequestArrived{CommitAge: 20 * ms})
+		_, to = actionsOf(ActSend, actions)
 		g.answer(id, code, role, position)
 		return to
 	}
