--- a/routing/members.go
+++ b/routing/members.go
@@ -100,7 +100,8 @@
 		m = r.addMember(t)
 	}
 	r.advanceHistory(m.group)
-	if t.Primary && r.cfg.ListNamesPrimary && !m.listedAsPrimary { // may be maxListDelay old
+	// The entry may be up to maxListDelay old, so it is weaker than any evidence seen since then.
+	if t.Primary && r.cfg.ListNamesPrimary && !m.listedAsPrimary {
 		isContested := m.reportedReplica && m.primaryAt <= m.notPrimaryAt
 		m.unconfirmedPrimary = isContested && r.cfg.Probing.findsRole()
 		m.primaryAt = max(m.primaryAt, r.now-maxListDelay, 1)
--- a/routing/primary.go
+++ b/routing/primary.go
@@ -19,7 +19,8 @@
 // router's restart goes first, else a random one, so that routers search in different orders.
 func (r *Router) searchPrimary(req *request) *member {
 	g := req.group
-	s := g.searcher // until its attempt is answered, or its member is silent
+	// A write searches until its attempt is answered, or is in flight at a member that has fallen silent.
+	s := g.searcher
 	isSearching := s != nil && s.inFlight > 0 && !r.isSilent(s.attempts[len(s.attempts)-1].member)
 	if isSearching || r.now < g.searchAfter {
 		return nil
@@ -33,7 +34,8 @@
 			next = m
 		}
 	}
-	if next != nil && next.notPrimaryAt > 0 && next.notPrimaryAt >= g.searchStartedAt { // all were tried
+	// The round is over if the member that comes next has already answered as a replica in it.
+	if next != nil && next.notPrimaryAt > 0 && next.notPrimaryAt >= g.searchStartedAt {
 		g.searchStartedAt, g.searchAfter = r.now+searchBackoff, r.now+searchBackoff
 		return nil
 	} else if next != nil {
--- a/routing/router.go
+++ b/routing/router.go
@@ -97,7 +97,8 @@
 	return e.Reason
 }
 
-// New returns a router for the settings, or a *SettingsError. The seed determines its random choices.
+// New returns a router for the settings, or a *SettingsError. Its random choices follow from the seed and the
+// router's index.
 func New(s Settings, seed uint64) (*Router, error) {
 	if err := s.validate(); err != nil {
 		return nil, err
