--- a/routing/outliers_test.go
+++ b/routing/outliers_test.go
@@ -105,7 +105,8 @@
 	}
 }
 
-// Guards against a replica that counts as silent although all it has in flight is a long query.
+// Guards against a replica that counts as silent although all it has in flight is a long query: it answers other requests
+// as usual.
 func TestLongQueryDoesNotMakeAMemberSilent(t *testing.T) {
 	g := startHarness(t, settings(), shard()...)
 	g.reportPositions(Replica, 10*ms, "a", "b", "c")
