--- a/internal/cluster/membership/adapter.go
+++ b/internal/cluster/membership/adapter.go
@@ -13,7 +13,7 @@
 	"ashstand/internal/cluster/transport"
 )
 
-// transportAdapter presents a transport.Transport as memberlist expects it.
+// transportAdapter makes a transport.Transport usable as memberlist's transport.
 type transportAdapter struct {
 	*transport.Transport
 	packets chan *memberlist.Packet
@@ -25,7 +25,7 @@
 	_ transport.Receiver            = (*transportAdapter)(nil)
 )
 
-// HandlePacket queues a datagram for memberlist.
+// HandlePacket queues a datagram for memberlist. It reports false if the queue is full.
 func (a *transportAdapter) HandlePacket(b []byte, from net.Addr, at time.Time) bool {
 	select {
 	case a.packets <- &memberlist.Packet{Buf: bytes.Clone(b), From: from, Timestamp: at}:
@@ -35,7 +35,7 @@
 	}
 }
 
-// HandleStream queues an accepted stream for memberlist.
+// HandleStream queues an accepted stream for memberlist. It reports false if the queue is full.
 func (a *transportAdapter) HandleStream(c net.Conn) bool {
 	select {
 	case a.streams <- c:
@@ -74,18 +74,19 @@
 	return nil
 }
 
-// undecodableMarks are parts of memberlist's log lines about messages that it could not decrypt or decode.
-var undecodableMarks = []string{"ecrypt", "msg type", "ecode"}
+// undecodableLogFragments occur in memberlist's log lines about messages that it could not decrypt or decode.
+var undecodableLogFragments = []string{"ecrypt", "msg type", "ecode"}
 
-// libraryLog receives memberlist's log lines. It counts messages that could not be read; all lines are for debugging.
-type libraryLog struct{ undecodable *atomic.Int64 }
+// memberlistLogWriter passes memberlist's log lines to slog at debug level. It counts the lines about
+// messages that memberlist could not read.
+type memberlistLogWriter struct{ undecodable *atomic.Int64 }
 
-// Write takes one line.
-func (l *libraryLog) Write(b []byte) (int, error) {
+// Write logs one line.
+func (w *memberlistLogWriter) Write(b []byte) (int, error) {
 	line := string(bytes.TrimSpace(b))
-	for _, mark := range undecodableMarks {
-		if strings.Contains(line, mark) {
-			l.undecodable.Add(1)
+	for _, fragment := range undecodableLogFragments {
+		if strings.Contains(line, fragment) {
+			w.undecodable.Add(1)
 			break
 		}
 	}
--- a/internal/cluster/membership/conflict.go
+++ b/internal/cluster/membership/conflict.go
@@ -12,7 +12,7 @@
 const (
 	// maxNameConflicts bounds the conflicts that a table remembers; the oldest are dropped first.
 	maxNameConflicts = 16
-	// notifyIntervalMillis is the shortest time between two notifications about one conflict.
+	// notifyIntervalMillis is the minimum time between two notifications about one conflict.
 	notifyIntervalMillis = 1000
 )
 
@@ -20,15 +20,16 @@
 type NameConflict struct {
 	Name       string  `json:"name"`
 	Holder     Info    `json:"kept"`    // the incarnation that owns the name
-	Rejected   Info    `json:"refused"` // the one that has to give it up
+	Rejected   Info    `json:"refused"` // the incarnation that has to give up the name
 	LastSeen   float64 `json:"at"`      // Unix milliseconds
-	notifiedAt float64 // Unix milliseconds; minus infinity: never
+	notifiedAt float64 // Unix milliseconds; minus infinity if no notification was sent
 }
 
-// Admit decides whether an incarnation may be treated as the member of its name. A name belongs to the incarnation that
-// started first for as long as that one is alive. An incarnation at the address of the known one takes over at once,
-// since two processes cannot listen there. Equal start times are settled by the smaller incarnation, so that every
-// member decides alike. The errors are *NameConflictError and *TableFullError.
+// Admit decides whether an incarnation may use its member name. A name belongs to the incarnation that
+// started first, for as long as that incarnation is alive. An incarnation at the address of the known one
+// takes over at once, since two processes cannot listen at one address. If the start times are equal, the
+// smaller incarnation number wins, so that all members decide alike. The errors are *NameConflictError and
+// *TableFullError.
 func (t *Table) Admit(info Info, now float64) error {
 	known := t.members[info.Name]
 	if known == nil {
@@ -37,7 +38,8 @@
 	if known.Incarnation == info.Incarnation || t.allowNameConflicts {
 		return nil
 	}
-	// At the own address this is gossip about the process that ran here before this one.
+	// An incarnation at the known address is a restart, or, for this member's own name, gossip about the
+	// process that listened at its address before.
 	if known.Address == info.Address || known.State == Dead {
 		return nil
 	}
@@ -49,7 +51,7 @@
 	return &NameConflictError{Known: known.Info, Claimed: info}
 }
 
-// admitNew makes a place for a member that is not in the table, or reports that there is none.
+// admitNew makes room for a member that is not in the table, or returns a *TableFullError.
 func (t *Table) admitNew(now float64) error {
 	t.evictLongestDead(now)
 	if len(t.members) >= t.maxMembers {
@@ -58,7 +60,8 @@
 	return nil
 }
 
-// startedBefore orders incarnations of one name: the first of them owns the name.
+// startedBefore orders incarnations of one name by start time, then by incarnation number. The first of them
+// owns the name.
 func startedBefore(a, b Info) bool {
 	return cmp.Or(cmp.Compare(a.StartedAt, b.StartedAt), cmp.Compare(a.Incarnation, b.Incarnation)) < 0
 }
@@ -83,8 +86,9 @@
 	}
 }
 
-// ShouldNotify tells whether the incarnations of a name that conflict now have to be notified, and whether that is the
-// first time. A conflict counts as notified from then on, until the interval between notifications has passed.
+// ShouldNotify reports whether the incarnations of a name that conflict at the time now are due for a
+// notification, and whether it is the first one. It marks the conflict as notified, so that the next
+// notification is due only after notifyIntervalMillis.
 func (t *Table) ShouldNotify(name string, now float64) (due, first bool) {
 	for i := range t.conflicts {
 		c := &t.conflicts[i]
@@ -98,10 +102,11 @@
 	return due, first
 }
 
-// NameConflicts returns the conflicts that are remembered, the oldest first.
+// NameConflicts returns the recorded conflicts, oldest first.
 func (t *Table) NameConflicts() []NameConflict { return slices.Clone(t.conflicts) }
 
-// NameHolder returns the incarnation to which this one has to give up its name. lost is false if the name is its own.
+// NameHolder returns the incarnation to which this one has to give up its name. lost is false if this
+// incarnation owns the name.
 func (t *Table) NameHolder() (holder Info, lost bool) {
 	for _, c := range t.conflicts {
 		if c.Rejected.Incarnation == t.self.Incarnation {
--- a/internal/cluster/membership/delegate.go
+++ b/internal/cluster/membership/delegate.go
@@ -7,7 +7,7 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// delegate is the part of Gossip that memberlist calls, from its own goroutines.
+// delegate implements memberlist's callbacks on a Gossip. memberlist calls them from its own goroutines.
 type delegate Gossip
 
 var (
@@ -24,13 +24,13 @@
 	self := d.options.Self
 	d.mu.Unlock()
 	b, err := self.Encode(limit)
-	if err != nil { // cannot happen: the limits of its parts leave room for all of them
+	if err != nil { // not expected: the limits of the single fields add up to less than the limit of the whole
 		slog.Error("cluster: the member information cannot be encoded", "error", err)
 	}
 	return b
 }
 
-// NotifyMsg receives a message of another member.
+// NotifyMsg handles a message from another member. It counts messages that it cannot handle as malformed.
 func (d *delegate) NotifyMsg(b []byte) {
 	received, err := decodeMessage(b)
 	handled := false
@@ -47,7 +47,7 @@
 	}
 }
 
-// handleNameConflict takes a message that is about this member's name.
+// handleNameConflict handles a message about this member's name. It rejects messages about other names.
 func (d *delegate) handleNameConflict(m *nameConflictMessage) (handled bool) {
 	if m.other.Name != d.options.Self.Name {
 		return false
@@ -56,15 +56,15 @@
 	return true
 }
 
-// admission is the result of admit.
-type admission struct {
-	err       error // of Table.Admit
+// admissionResult is the result of admit.
+type admissionResult struct {
+	err       error // the error of Table.Admit
 	known     Info  // the member in the table; set if err is a name conflict
-	notifyDue bool  // both incarnations of the name have to be notified
+	notifyDue bool  // whether both incarnations of the name have to be notified
 }
 
-// admit asks the table for an incarnation, and logs a name conflict that is new.
-func (d *delegate) admit(info Info) admission {
+// admit asks the table whether an incarnation may use its name, and logs each name conflict once.
+func (d *delegate) admit(info Info) admissionResult {
 	result, isNew := d.admitLocked(info)
 	if isNew {
 		slog.Warn("cluster: name conflict", "name", info.Name, "error", result.err)
@@ -72,7 +72,7 @@
 	return result
 }
 
-func (d *delegate) admitLocked(info Info) (result admission, isNew bool) {
+func (d *delegate) admitLocked(info Info) (result admissionResult, isNew bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.options.Clock.Now()
@@ -87,7 +87,8 @@
 	return result, isNew
 }
 
-// admitNode checks what gossip of any origin reports about a member.
+// admitNode decides whether a member that gossip reports is admitted. In a name conflict, it notifies both
+// incarnations.
 func (d *delegate) admitNode(n *memberlist.Node) error {
 	info, err := DecodeInfo(n.Name, n.Address(), n.Meta)
 	if err != nil {
@@ -96,7 +97,7 @@
 	}
 	result := d.admit(info)
 	if result.notifyDue && info.Name != d.options.Self.Name {
-		// Both, since neither may have received anything about the other.
+		// Both incarnations are notified, since neither may have received anything about the other.
 		(*Gossip)(d).startSender(func(list *memberlist.Memberlist) {
 			sendNameConflict(list, result.known, info)
 			sendNameConflict(list, info, result.known)
@@ -105,10 +106,11 @@
 	return result.err
 }
 
-// NotifyAlive admits or rejects a member before memberlist takes it in.
+// NotifyAlive admits or rejects a member before memberlist adds it.
 func (d *delegate) NotifyAlive(n *memberlist.Node) error { return d.admitNode(n) }
 
-// NotifyMerge admits or rejects the members of another pooler's complete state.
+// NotifyMerge admits or rejects the members of another pooler's complete state. It returns an error, which
+// cancels the merge, only for a conflict about this member's own name.
 func (d *delegate) NotifyMerge(nodes []*memberlist.Node) error {
 	for _, n := range nodes {
 		if n.State == memberlist.StateDead || n.State == memberlist.StateLeft {
@@ -121,13 +123,13 @@
 	return nil
 }
 
-// NotifyConflict is called for a conflict that NotifyAlive has rejected before.
+// NotifyConflict is called for a member that NotifyAlive has rejected already.
 func (d *delegate) NotifyConflict(_, other *memberlist.Node) { _ = d.admitNode(other) }
 
-// NotifyJoin records a member that came alive.
+// NotifyJoin records a member that joined or is alive again.
 func (d *delegate) NotifyJoin(n *memberlist.Node) { d.observe(n, LivenessAlive) }
 
-// NotifyUpdate records what a member newly reports about itself.
+// NotifyUpdate records new information that a member reports about itself.
 func (d *delegate) NotifyUpdate(n *memberlist.Node) { d.observe(n, LivenessAlive) }
 
 // NotifyLeave records a member that left or was declared dead.
@@ -143,11 +145,11 @@
 	d.table.Observe(info, liveness, d.options.Clock.Now())
 }
 
-// GetBroadcasts is not used: messages of this package have one receiver.
+// GetBroadcasts returns nothing: each message of this package has a single receiver.
 func (d *delegate) GetBroadcasts(int, int) [][]byte { return nil }
 
-// LocalState is not used: members exchange nothing but what memberlist knows.
+// LocalState returns nothing: members exchange no state beside that of memberlist.
 func (d *delegate) LocalState(bool) []byte { return nil }
 
-// MergeRemoteState is not used, as LocalState.
+// MergeRemoteState does nothing, since LocalState of the other members returns nothing.
 func (d *delegate) MergeRemoteState([]byte, bool) {}
--- a/internal/cluster/membership/errors.go
+++ b/internal/cluster/membership/errors.go
@@ -11,13 +11,13 @@
 // ErrNameConflict is wrapped by the error of Table.Admit for a name that another incarnation holds.
 var ErrNameConflict = errors.New("the name is held by another instance")
 
-// ErrTableFull is wrapped by the error of Table.Admit when the table has no place for another member.
-var ErrTableFull = errors.New("there are as many members as may be")
+// ErrTableFull is wrapped by the error of Table.Admit when the table has no room for another member.
+var ErrTableFull = errors.New("the member table is full")
 
-// InfoError reports why member information was not accepted. It wraps ErrMalformedInfo.
+// InfoError reports why member information is malformed. It wraps ErrMalformedInfo.
 type InfoError struct {
 	Reason string
-	Err    error // the cause where there is one
+	Err    error // the cause; may be nil
 }
 
 // Error returns the sentinel's text and the reason.
@@ -31,7 +31,7 @@
 	return []error{ErrMalformedInfo, e.Err}
 }
 
-// InfoTooLongError reports member information that gossip cannot carry.
+// InfoTooLongError reports encoded member information that exceeds the limit of gossip.
 type InfoTooLongError struct {
 	Bytes int
 	Limit int
@@ -61,12 +61,12 @@
 // Code is a stable identifier of the error.
 func (e *NameConflictError) Code() string { return "member_name_conflict" }
 
-// Advice says what an operator can do.
+// Advice tells an operator how to resolve the error.
 func (e *NameConflictError) Advice() string {
 	return "Give one of the two poolers another name in its cluster block and restart it."
 }
 
-// TableFullError reports a member for which the table has no place. It wraps ErrTableFull.
+// TableFullError reports a member that was not admitted because the table is full. It wraps ErrTableFull.
 type TableFullError struct {
 	MaxMembers int
 }
@@ -80,7 +80,7 @@
 // Code is a stable identifier of the error.
 func (e *TableFullError) Code() string { return "member_table_full" }
 
-// Advice says what an operator can do.
+// Advice tells an operator how to resolve the error.
 func (e *TableFullError) Advice() string {
 	return "Raise members in the cluster block of every pooler and restart them, or stop poolers that are not needed."
 }
@@ -88,9 +88,9 @@
 // KeyFileError reports a key file that holds no usable keys.
 type KeyFileError struct {
 	Path   string
-	Line   int // 0: the file as a whole
+	Line   int // 0 if the error concerns the whole file
 	Reason string
-	Err    error // the cause where there is one
+	Err    error // the cause; may be nil
 }
 
 // Error names the file, the line and the reason.
@@ -107,7 +107,7 @@
 // Code is a stable identifier of the error.
 func (e *KeyFileError) Code() string { return "cluster_keys_invalid" }
 
-// Advice says what an operator can do.
+// Advice tells an operator how to resolve the error.
 func (e *KeyFileError) Advice() string {
 	return "Write one key a line, the base64 of 16, 24 or 32 random bytes, the same in every pooler's file."
 }
--- a/internal/cluster/membership/errors_test.go
+++ b/internal/cluster/membership/errors_test.go
@@ -11,7 +11,7 @@
 	"ashstand/internal/remedy"
 )
 
-// Errors on which an operator can act carry fields, a code and advice; the sentinel stays in their chain.
+// Errors that an operator can resolve have fields, a code and advice, and still wrap their sentinel error.
 func TestErrorsAreTyped(t *testing.T) {
 	table := NewTable(testInfo("n1", "127.0.0.1:1", 1, 100), 1, 0)
 
@@ -45,7 +45,7 @@
 	require.NotEmpty(t, remedy.Find(err).Advice())
 }
 
-// A message that is none is an error, whatever its bytes.
+// Truncated messages and messages of unknown kinds are reported as errors.
 func TestMalformedMessages(t *testing.T) {
 	whole, err := (&nameConflictMessage{other: testInfo("n1", "127.0.0.1:1", 1, 100)}).encode()
 	require.NoError(t, err)
--- a/internal/cluster/membership/golden_test.go
+++ b/internal/cluster/membership/golden_test.go
@@ -19,8 +19,8 @@
 
 var updateGolden = flag.Bool("update-golden", false, "write the golden files instead of comparing with them")
 
-// golden compares bytes with a committed file and returns what the file holds.
-func golden(t *testing.T, name string, got []byte) []byte {
+// compareWithGolden compares bytes with a committed file and returns the content of the file.
+func compareWithGolden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
 	if *updateGolden {
@@ -40,12 +40,12 @@
 	}
 }
 
-// What a member says of itself has the same bytes in every state that it may say.
+// The encoding of Info does not change, in any of the states that a member may report.
 func TestGoldenInfo(t *testing.T) {
 	for _, s := range []State{Starting, Serving, Draining} {
 		b, err := goldenInfo(s).Encode(512)
 		require.NoError(t, err)
-		stored := golden(t, "info_"+string(s)+".json", b)
+		stored := compareWithGolden(t, "info_"+string(s)+".json", b)
 		i, err := DecodeInfo("n1", "127.0.0.1:7101", stored)
 		require.NoError(t, err)
 		require.Equal(t, goldenInfo(s), i)
@@ -55,7 +55,7 @@
 	}
 }
 
-// recordingTransport is a transport of the library that records what is sent.
+// recordingTransport is a memberlist transport that records the packets and streams that are sent.
 type recordingTransport struct {
 	packets chan []byte
 	streams chan net.Conn
@@ -100,7 +100,8 @@
 	return list, r
 }
 
-// The two kinds of messages of our own have the same bytes, as datagrams and as a stream, and are read from them.
+// The encoding of both kinds of messages does not change, neither as datagrams nor as a stream, and can be
+// decoded.
 func TestGoldenMessages(t *testing.T) {
 	list, r := newRecordingList(t)
 	var received [][]byte
@@ -112,19 +113,19 @@
 	other := goldenInfo(Draining)
 	other.Name, other.Address, other.Incarnation, other.StartedAt = "n1", "127.0.0.1:7199", 0xfedcba9876543210, 1767225600999
 	sendNameConflict(list, goldenInfo(Serving), other)
-	stored := golden(t, "message_name_conflict.bin", <-r.packets)
+	stored := compareWithGolden(t, "message_name_conflict.bin", <-r.packets)
 	_, body, found := bytes.Cut(stored, []byte("@127.0.0.1:7101 \x08"))
-	require.True(t, found, "a user message of the library, to where the other says that it listens")
+	require.True(t, found, "a user message of memberlist, sent to the address that the incarnation reports")
 	(*delegate)(g).NotifyMsg(body)
 	require.Zero(t, g.malformedMessages.Load())
 	require.Len(t, g.table.NameConflicts(), 1)
 	require.Equal(t, []Info{goldenInfo(Serving), other}, []Info{g.table.NameConflicts()[0].Holder, g.table.NameConflicts()[0].Rejected})
 	sendNameConflict(list, g.table.NameConflicts()[0].Holder, g.table.NameConflicts()[0].Rejected)
-	require.Equal(t, stored, <-r.packets, "the same again after reading")
+	require.Equal(t, stored, <-r.packets, "encoding a decoded message yields the same bytes")
 
 	payload := []byte("a message of the agreement\x00\xff")
 	g.Send("n2", payload)
-	stored = golden(t, "message_payload.bin", <-r.packets)
+	stored = compareWithGolden(t, "message_payload.bin", <-r.packets)
 	_, body, found = bytes.Cut(stored, []byte("n2@127.0.0.1:7102 \x08"))
 	require.True(t, found)
 	(*delegate)(g).NotifyMsg(body)
@@ -135,13 +136,13 @@
 	c := <-r.streams
 	b, err := io.ReadAll(c)
 	require.NoError(t, err)
-	stored = golden(t, "message_payload_stream.bin", b)
+	stored = compareWithGolden(t, "message_payload_stream.bin", b)
 	(*delegate)(g).NotifyMsg(stored[len(stored)-len(long)-1:])
 	require.Equal(t, [][]byte{payload, long}, received)
 	require.Zero(t, g.malformedMessages.Load())
 }
 
-// What operators and traces get of the table has the same keys.
+// The JSON keys of View and Change, which operators and traces use, do not change.
 func TestGoldenView(t *testing.T) {
 	self, holder, other := goldenInfo(Serving), goldenInfo(Starting), goldenInfo(Suspect)
 	view := View{
@@ -151,7 +152,7 @@
 	}
 	b, err := json.MarshalIndent(view, "", "\t")
 	require.NoError(t, err)
-	stored := golden(t, "view.json", b)
+	stored := compareWithGolden(t, "view.json", b)
 	var read View
 	require.NoError(t, json.Unmarshal(stored, &read))
 	again, err := json.MarshalIndent(read, "", "\t")
@@ -160,7 +161,7 @@
 
 	b, err = json.Marshal([]Change{{At: 5, Name: "n2", From: Serving, To: Dead, PreviousIncarnation: 6, Incarnation: 7}})
 	require.NoError(t, err)
-	stored = golden(t, "changes.json", b)
+	stored = compareWithGolden(t, "changes.json", b)
 	var changes []Change
 	require.NoError(t, json.Unmarshal(stored, &changes))
 	b, err = json.Marshal(changes)
--- a/internal/cluster/membership/gossip.go
+++ b/internal/cluster/membership/gossip.go
@@ -15,8 +15,9 @@
 	"ashstand/internal/cluster/transport"
 )
 
-// seedStream separates the random numbers of this package from others that are drawn with the same seed.
-const seedStream = 0x6d656d
+// randomStream selects this package's own stream of random numbers, so that they are independent of those
+// that other packages draw with the same seed.
+const randomStream = 0x6d656d
 
 // Gossip keeps a Table up to date with the other members. Its methods are safe for concurrent use.
 type Gossip struct {
@@ -26,23 +27,24 @@
 	watcher sync.WaitGroup // the goroutine of watch
 	senders sync.WaitGroup // goroutines started by startSender
 
-	// mu guards the fields below, of options only Self.Address, Self.State and Peers: the rest does not change.
-	mu        sync.Mutex
-	options   Options
-	table     *Table
-	list      *memberlist.Memberlist // nil: closed, or the name is lost
-	transport *transportAdapter
-	lostSince float64 // when the name was lost, Unix milliseconds; 0: it was not
-	holder    Info    // the incarnation that holds the lost name
+	// mu guards the fields from here to nameHolder. Of options, only Self.Address, Self.State and Peers change.
+	mu         sync.Mutex
+	options    Options
+	table      *Table
+	list       *memberlist.Memberlist // nil if it is closed or the name is lost
+	transport  *transportAdapter
+	nameLostAt float64 // when the name was lost, Unix milliseconds; 0 if it is held
+	nameHolder Info    // the incarnation that holds the lost name
 
 	undecodable       atomic.Int64 // messages that memberlist could not read
 	malformedMessages atomic.Int64 // messages and member information that this package could not read
 	joins             atomic.Int64
 	joinAttempts      atomic.Int64
-	outgoingStreams   sync.Map // name of a configured peer -> *atomic.Int64, the messages in flight to it
+	outgoingStreams   sync.Map // maps a peer's name to the *atomic.Int64 count of messages in flight to it
 }
 
-// Start opens the sockets and begins to look for members, without waiting for any. The caller ends it by Stop.
+// Start opens the sockets and begins to join the configured peers, without waiting for any. The caller must
+// call Stop.
 func Start(o Options) (*Gossip, error) {
 	if o.Clock == nil {
 		o.Clock = clock.System()
@@ -53,7 +55,7 @@
 	}
 	g := &Gossip{
 		options: o,
-		random:  rand.New(rand.NewPCG(o.Seed, seedStream)),
+		random:  rand.New(rand.NewPCG(o.Seed, randomStream)),
 		keyring: keyring,
 		closing: make(chan struct{}),
 	}
@@ -67,8 +69,8 @@
 // open starts memberlist with a new table.
 func (g *Gossip) open() error {
 	adapter := &transportAdapter{
-		packets: make(chan *memberlist.Packet, packetQueue),
-		streams: make(chan net.Conn, streamQueue),
+		packets: make(chan *memberlist.Packet, packetQueueCapacity),
+		streams: make(chan net.Conn, streamQueueCapacity),
 	}
 	var err error
 	if adapter.Transport, err = transport.Listen(g.options.Listen, g.options.Peers, adapter); err != nil {
@@ -77,8 +79,8 @@
 	g.mu.Lock()
 	g.options.Self.Address = adapter.Address().String()
 	g.table = NewTable(g.options.Self, g.options.MaxMembers, g.options.Clock.Now())
-	g.table.allowNameConflicts = g.options.Break == breakNames
-	g.transport, g.lostSince = adapter, 0
+	g.table.allowNameConflicts = g.options.Break == disableNameOwnership
+	g.transport, g.nameLostAt = adapter, 0
 	g.mu.Unlock()
 	list, err := memberlist.Create(g.memberlistConfig(adapter))
 	if err != nil {
@@ -97,29 +99,30 @@
 	c.Name, c.Transport, c.Keyring = g.options.Self.Name, adapter, g.keyring
 	c.BindAddr, c.BindPort = adapter.Address().IP.String(), adapter.Address().Port
 	c.AdvertiseAddr, c.AdvertisePort = c.BindAddr, c.BindPort
-	c.ProbeInterval, c.ProbeTimeout = probe, probe/probeTimeoutDiv
+	c.ProbeInterval, c.ProbeTimeout = probe, probe/probeTimeoutDivisor
 	c.SuspicionMult, c.SuspicionMaxTimeoutMult = suspicionMult, suspicionMaxMult
-	c.GossipInterval = probe / gossipDiv
+	c.GossipInterval = probe / gossipDivisor
 	c.PushPullInterval = pushPullMult * probe
 	c.TCPTimeout = streamTimeout
 	c.GossipToTheDeadTime = gossipToDeadMult * probe
-	c.DeadNodeReclaimTime = time.Millisecond // by then Table.Admit has decided
-	c.UDPBufferSize, c.HandoffQueueDepth = udpBufferBytes, handoffQueue
+	c.DeadNodeReclaimTime = time.Millisecond // short: Table.Admit has decided already who may reuse a name
+	c.UDPBufferSize, c.HandoffQueueDepth = udpBufferBytes, handoffQueueDepth
 	c.EnableCompression = false // messages are short, and encrypted bytes do not compress
 	c.DelegateProtocolMin, c.DelegateProtocolMax, c.DelegateProtocolVersion = 1, 1, 1
 	d := (*delegate)(g)
 	c.Delegate, c.Alive, c.Merge, c.Events, c.Conflict = d, d, d, d, d
-	c.Logger = log.New(&libraryLog{undecodable: &g.undecodable}, "", 0)
+	c.Logger = log.New(&memberlistLogWriter{undecodable: &g.undecodable}, "", 0)
 	return c
 }
 
-// SetState changes the state that this member reports about itself. It does not wait until the others know.
+// SetState changes the state that this member reports about itself. It does not wait until the other members
+// know it.
 func (g *Gossip) SetState(s State) {
 	if !g.setOwnState(s) {
 		return
 	}
 	g.startSender(func(list *memberlist.Memberlist) {
-		_ = list.UpdateNode(g.options.ProbeInterval) // a late one still spreads, with the next exchange
+		_ = list.UpdateNode(g.options.ProbeInterval) // after a timeout, the next state exchange still spreads the update
 	})
 	g.notifyChanges()
 }
@@ -135,7 +138,7 @@
 	return true
 }
 
-// SetPeers replaces the addresses of members.
+// SetPeers replaces the configured addresses of the other members, by name.
 func (g *Gossip) SetPeers(peers map[string]string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -143,7 +146,8 @@
 	g.transport.SetPeers(peers)
 }
 
-// Stop leaves gracefully, so that the others need not detect a failure, closes the sockets and waits for all goroutines.
+// Stop announces that this member leaves, so that the others need not detect a failure, closes the sockets
+// and waits for all goroutines.
 func (g *Gossip) Stop() {
 	close(g.closing)
 	g.watcher.Wait()
@@ -152,14 +156,14 @@
 	g.list = nil
 	g.mu.Unlock()
 	if list != nil {
-		_ = list.Leave(leaveTimeout) // members that it did not reach detect a failure instead
+		_ = list.Leave(leaveTimeout) // members that the announcement does not reach detect a failure instead
 		_ = list.Shutdown()
 	}
 	g.senders.Wait()
 }
 
-// current returns memberlist's handle; nil: it is closed.
-func (g *Gossip) current() *memberlist.Memberlist {
+// activeList returns the running memberlist, or nil if it is closed.
+func (g *Gossip) activeList() *memberlist.Memberlist {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.list
--- a/internal/cluster/membership/info.go
+++ b/internal/cluster/membership/info.go
@@ -5,7 +5,8 @@
 	"fmt"
 )
 
-// State is the state of a member. The first three are reported by the member itself, the others are judged by the rest.
+// State is the state of a member. A member reports Starting, Serving and Draining about itself; the other
+// members determine Suspect and Dead by failure detection.
 type State string
 
 // The states of a member. Their values are part of the gossip protocol and of the admin JSON.
@@ -14,26 +15,26 @@
 	Serving  State = "serving"
 	Draining State = "draining" // shutting down gracefully
 	Suspect  State = "suspect"  // does not answer probes; it may still be alive
-	Dead     State = "gone"     // left, or remained suspect without refuting it
+	Dead     State = "gone"     // left, or did not refute the suspicion in time
 )
 
-// reported tells whether a member may report the state about itself.
+// reported reports whether a member may report the state about itself.
 func (s State) reported() bool { return s == Starting || s == Serving || s == Draining }
 
 // Info is what a member reports about itself.
 type Info struct {
 	Name         string  `json:"name"`
-	Address      string  `json:"address"`  // its listening address; other members may reach it elsewhere
+	Address      string  `json:"address"`  // its listening address; other members may reach it at another one
 	Incarnation  uint64  `json:"instance"` // random, drawn when its process starts
-	StartedAt    float64 `json:"started"`  // start of its process, Unix milliseconds by its own clock
+	StartedAt    float64 `json:"started"`  // when its process started, Unix milliseconds by its own clock
 	Version      string  `json:"version"`  // of the program
-	OldestFormat int     `json:"oldest"`   // oldest message format that it reads
-	NewestFormat int     `json:"newest"`   // newest message format that it reads; it writes this one
+	OldestFormat int     `json:"oldest"`   // oldest message format that it can read
+	NewestFormat int     `json:"newest"`   // newest message format that it can read; it writes this one
 	Zone         string  `json:"zone"`
 	State        State   `json:"state"`
 }
 
-// The limits of what a member may report about itself, in bytes.
+// The maximum lengths of the fields that a member reports about itself, in bytes.
 const (
 	MaxNameBytes    = 64
 	maxVersionBytes = 80
@@ -43,8 +44,8 @@
 // incarnationFormat prints an incarnation as 16 hexadecimal digits.
 const incarnationFormat = "%016x"
 
-// encodedInfo is Info on the wire. Its keys are short because gossip carries at most 512 bytes for each member. Name
-// and address are not in it: memberlist transmits both.
+// encodedInfo is the wire form of Info. Its keys are short because gossip carries at most 512 bytes for each
+// member. It omits name and address, which memberlist transmits itself.
 type encodedInfo struct {
 	Incarnation  string  `json:"i"`
 	StartedAt    float64 `json:"t"`
@@ -74,7 +75,7 @@
 
 func truncate(s string, limit int) string { return s[:min(len(s), limit)] }
 
-// DecodeInfo reads the wire form of an Info and checks it. The error of one that is malformed wraps ErrMalformedInfo.
+// DecodeInfo decodes and validates the wire form of an Info. Its error wraps ErrMalformedInfo.
 func DecodeInfo(name, address string, b []byte) (Info, error) {
 	var e encodedInfo
 	if err := json.Unmarshal(b, &e); err != nil {
@@ -100,7 +101,7 @@
 	return i, nil
 }
 
-// validate checks the parts that a member may report wrongly.
+// validate checks the fields that another member reported.
 func (i Info) validate() error {
 	switch {
 	case i.Name == "" || len(i.Name) > MaxNameBytes:
--- a/internal/cluster/membership/keys.go
+++ b/internal/cluster/membership/keys.go
@@ -11,17 +11,17 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// maxKeyFileBytes is how much of a key file is read.
+// maxKeyFileBytes limits how much of a key file is read.
 const maxKeyFileBytes = 64 << 10
 
-// ReadKeys reads a key file: one key a line, the base64 of 16, 24 or 32 bytes. Empty lines and lines that begin with #
-// are ignored. A file without usable keys is a *KeyFileError.
+// ReadKeys reads a key file: one key a line, the base64 of 16, 24 or 32 bytes. Empty lines and lines that
+// begin with # are ignored. A file without usable keys is a *KeyFileError.
 func ReadKeys(path string) (keys [][]byte, err error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = f.Close() }() // only read: nothing can be lost
+	defer func() { _ = f.Close() }() // the file is only read, so no data can be lost
 	b, err := io.ReadAll(io.LimitReader(f, maxKeyFileBytes))
 	if err != nil {
 		return nil, err
@@ -51,7 +51,8 @@
 	return key, memberlist.ValidateKey(key)
 }
 
-// RotateKeys replaces the encryption keys: the first one encrypts from now on, and only those given decrypt.
+// RotateKeys replaces the encryption keys. From now on the first of them encrypts, and messages that are
+// encrypted with any other key than these are rejected.
 func (g *Gossip) RotateKeys(keys [][]byte) error {
 	for _, key := range keys {
 		if err := g.keyring.AddKey(key); err != nil {
--- a/internal/cluster/membership/message.go
+++ b/internal/cluster/membership/message.go
@@ -21,16 +21,17 @@
 	kindPayload      messageKind = 2
 )
 
-// errMalformedMessage is a message of no known kind, or one that cannot be decoded.
+// errMalformedMessage reports a message of an unknown kind, or one that cannot be decoded.
 var errMalformedMessage = errors.New("malformed message between members")
 
-// message is what one member sends to another beside gossip: a *nameConflictMessage or a payloadMessage.
+// message is a direct message between two members, apart from gossip: a *nameConflictMessage or a
+// payloadMessage.
 type message interface{ kind() messageKind }
 
-// payloadMessage carries bytes of other packages, given to Send.
+// payloadMessage carries the bytes that another package passed to Send.
 type payloadMessage []byte
 
-// nameConflictMessage tells an incarnation of another one that claims its name.
+// nameConflictMessage notifies an incarnation that another one claims the same name.
 type nameConflictMessage struct{ other Info }
 
 func (payloadMessage) kind() messageKind       { return kindPayload }
@@ -38,7 +39,7 @@
 
 func (m payloadMessage) encode() []byte { return append([]byte{byte(kindPayload)}, m...) }
 
-// encode returns: kind, quoted name, space, quoted address, space, encoded information.
+// encode returns the kind, the quoted name, a space, the quoted address, a space and the encoded information.
 func (m *nameConflictMessage) encode() ([]byte, error) {
 	info, err := m.other.Encode(math.MaxInt)
 	if err != nil {
@@ -52,7 +53,7 @@
 	return append(b, info...), nil
 }
 
-// decodeMessage reads a message. A payload shares its bytes with b.
+// decodeMessage decodes a message. A payload shares its memory with b.
 func decodeMessage(b []byte) (message, error) {
 	if len(b) < 2 {
 		return nil, errMalformedMessage
@@ -82,7 +83,7 @@
 	return &nameConflictMessage{other: other}, nil
 }
 
-// cutQuoted takes a quoted string and one space off the start of a text.
+// cutQuoted splits a text after a quoted string and one space, and returns the unquoted string and the rest.
 func cutQuoted(text string) (value, rest string, err error) {
 	quoted, err := strconv.QuotedPrefix(text)
 	if err != nil {
@@ -92,8 +93,9 @@
 	return value, strings.TrimPrefix(text[len(quoted):], " "), err
 }
 
-// Send sends a message to a member at its configured address, whatever state the member is in. Short messages are sent
-// as datagrams, which may be lost, duplicated or late; longer ones as a stream each. It does not block.
+// Send sends a message to a member at its configured address, whatever state the member is in. Short messages
+// are sent as datagrams, which may be lost, duplicated or delayed; each longer one is sent as a stream. It
+// does not block.
 func (g *Gossip) Send(name string, b []byte) {
 	g.mu.Lock()
 	list, address := g.list, g.options.Peers[name]
@@ -109,7 +111,7 @@
 	g.sendStream(name, address, encoded)
 }
 
-// sendStream sends a message as a stream, unless too many are in flight to that member.
+// sendStream sends a message as a stream. It drops the message if too many are in flight to that member.
 func (g *Gossip) sendStream(name, address string, encoded []byte) {
 	resolved, err := net.ResolveTCPAddr("tcp", address)
 	if err != nil {
@@ -131,8 +133,9 @@
 	}
 }
 
-// sendNameConflict tells an incarnation of another one that claims its name. The message goes to the address that the
-// incarnation reports, since the name leads to one of the two only.
+// sendNameConflict notifies an incarnation that another one claims the same name. It sends the message to the
+// address that the incarnation reports, since the configured address of the name belongs to only one of the
+// two.
 func sendNameConflict(list *memberlist.Memberlist, to, other Info) {
 	encoded, err := (&nameConflictMessage{other: other}).encode()
 	if err != nil {
@@ -142,10 +145,10 @@
 	if err != nil {
 		return
 	}
-	_ = list.SendToAddress(memberlist.Address{Addr: resolved.String()}, encoded) // it is sent again while the conflict lasts
+	_ = list.SendToAddress(memberlist.Address{Addr: resolved.String()}, encoded) // it is sent again for as long as the conflict lasts
 }
 
-// handlePayload passes a payload on, if anybody takes it.
+// handlePayload passes a copy of a payload to Options.OnMessage, if that is set.
 func (g *Gossip) handlePayload(m payloadMessage) (handled bool) {
 	if g.options.OnMessage == nil {
 		return false
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -6,9 +6,10 @@
 )
 
 const (
-	// deadRetentionMillis is how long a dead member stays in the table, where operators look for it.
+	// deadRetentionMillis is how long a dead member stays in the table, so that operators can see it.
 	deadRetentionMillis = 10 * 60 * 1000
-	// maxPendingChanges bounds what TakeChanges returns; a caller that takes them seldom loses the oldest.
+	// maxPendingChanges bounds the changes that TakeChanges returns. If the caller takes them too seldom, the
+	// oldest are lost.
 	maxPendingChanges = 4096
 )
 
@@ -22,8 +23,8 @@
 type Change struct {
 	At                  float64 `json:"at"` // Unix milliseconds
 	Name                string  `json:"name"`
-	From                State   `json:"from"` // "": it was not in the table
-	To                  State   `json:"to"`   // "": it was removed from the table
+	From                State   `json:"from"` // empty if the member was not in the table
+	To                  State   `json:"to"`   // empty if the member was removed from the table
 	PreviousIncarnation uint64  `json:"before"`
 	Incarnation         uint64  `json:"now"`
 }
@@ -34,8 +35,8 @@
 // The values of Liveness.
 const (
 	LivenessAlive   Liveness = iota
-	LivenessSuspect          // it does not answer probes
-	LivenessDead             // it left, or did not refute the suspicion in time
+	LivenessSuspect          // the member does not answer probes
+	LivenessDead             // the member left, or did not refute the suspicion in time
 )
 
 // Table is one pooler's view of all members, including itself. It is not safe for concurrent use.
@@ -46,11 +47,12 @@
 	conflicts  []NameConflict
 	changes    []Change // since the last TakeChanges
 
-	// allowNameConflicts admits every incarnation of a name, so that a test sees the checker of that guarantee fail.
+	// allowNameConflicts admits every incarnation of a name, so that a test can see the checker of name
+	// ownership fail.
 	allowNameConflicts bool
 }
 
-// NewTable returns a table that contains self and has places for maxMembers members.
+// NewTable returns a table that contains self and holds at most maxMembers members, self included.
 func NewTable(self Info, maxMembers int, now float64) *Table {
 	t := &Table{self: self, maxMembers: max(1, maxMembers), members: map[string]*Member{}}
 	t.put(self, self.State, now)
@@ -63,7 +65,8 @@
 	t.put(t.self, state, now)
 }
 
-// Observe records what an admitted member reports about itself, and what failure detection reports about it.
+// Observe records what an admitted member reports about itself and its liveness according to failure
+// detection. It ignores observations of the table's owner.
 func (t *Table) Observe(info Info, liveness Liveness, now float64) {
 	if info.Name == t.self.Name {
 		return
@@ -73,7 +76,7 @@
 		return // Admit reports the full table
 	}
 	if known != nil && liveness == LivenessDead && known.Incarnation != info.Incarnation {
-		return // the end of an earlier incarnation
+		return // an earlier incarnation died, not the present one
 	}
 	state := info.State
 	switch liveness {
@@ -114,8 +117,8 @@
 	t.changes = append(t.changes, c)
 }
 
-// Tick removes members that have been dead for long.
-func (t *Table) Tick(now float64) {
+// RemoveExpired removes the members that have been dead for longer than deadRetentionMillis.
+func (t *Table) RemoveExpired(now float64) {
 	for _, m := range t.members {
 		if m.State == Dead && now-m.Since > deadRetentionMillis {
 			t.remove(m, now)
@@ -123,7 +126,7 @@
 	}
 }
 
-// evictLongestDead removes the member that has been dead for longest if the table is full.
+// evictLongestDead removes the member that has been dead for longest, if the table is full.
 func (t *Table) evictLongestDead(now float64) {
 	if len(t.members) < t.maxMembers {
 		return
@@ -147,7 +150,7 @@
 	delete(t.members, m.Name)
 }
 
-// TakeChanges returns the changes since it was called last.
+// TakeChanges returns the changes since its last call.
 func (t *Table) TakeChanges() []Change {
 	changes := t.changes
 	t.changes = nil
@@ -164,8 +167,8 @@
 	return out
 }
 
-// CommonFormats returns the range of message formats that all members which are not dead read. Members without a format
-// in that range are returned as incompatible and do not narrow it.
+// CommonFormats returns the range of message formats that all members can read, except dead ones. Members
+// that read no format in that range are returned as incompatible and do not narrow it.
 func (t *Table) CommonFormats() (oldest, newest int, incompatible []string) {
 	oldest, newest = t.self.OldestFormat, t.self.NewestFormat
 	for _, m := range t.Members() {
--- a/internal/cluster/membership/table_test.go
+++ b/internal/cluster/membership/table_test.go
@@ -9,11 +9,11 @@
 	"pgregory.net/rapid"
 )
 
-func testInfo(name, address string, instance uint64, started float64) Info {
-	return Info{Name: name, Address: address, Incarnation: instance, StartedAt: started, Version: "v", OldestFormat: 1, NewestFormat: 2, Zone: "a", State: Serving}
+func testInfo(name, address string, incarnation uint64, startedAt float64) Info {
+	return Info{Name: name, Address: address, Incarnation: incarnation, StartedAt: startedAt, Version: "v", OldestFormat: 1, NewestFormat: 2, Zone: "a", State: Serving}
 }
 
-// livenessOf maps what memberlist reports: the end of a member counts before a suspicion.
+// livenessOf returns the Liveness for two flags. A member that is not alive is dead even if it is suspect too.
 func livenessOf(alive, suspect bool) Liveness {
 	switch {
 	case !alive:
@@ -42,7 +42,7 @@
 	require.Equal(t, i, got)
 	i.Version, i.Zone = strings.Repeat("v", 900), strings.Repeat("z", 900)
 	b, err = i.Encode(512)
-	require.NoError(t, err, "long words are cut to what gossip carries")
+	require.NoError(t, err, "long fields are truncated to their limits")
 	require.LessOrEqual(t, len(b), 512)
 	for _, malformed := range []string{
 		"", "{", `{"i":"0","s":"serving","o":1,"n":1}`, `{"i":"00000000000000ff","s":"gone","o":1,"n":1}`,
@@ -55,8 +55,9 @@
 	require.ErrorIs(t, err, ErrMalformedInfo)
 }
 
-// A name belongs to the incarnation that started first while it is alive. One that restarts at the same address takes it
-// over at once, and so does any other once the holder is dead.
+// A name belongs to the incarnation that started first while that incarnation is alive. An incarnation that
+// restarts at the same address takes over the name at once, and so does any other one when the holder is
+// dead.
 func TestNameConflict(t *testing.T) {
 	self := testInfo("n1", "127.0.0.1:1", 1, 100)
 	table := NewTable(self, 8, 0)
@@ -70,30 +71,30 @@
 	require.True(t, due && fresh)
 	require.ErrorIs(t, table.Admit(second, 3), ErrNameConflict)
 	due, _ = table.ShouldNotify("n2", 3)
-	require.False(t, due, "it was told a moment ago")
+	require.False(t, due, "the interval between notifications has not passed")
 	require.ErrorIs(t, table.Admit(second, 2+notifyIntervalMillis), ErrNameConflict)
 	due, fresh = table.ShouldNotify("n2", 2+notifyIntervalMillis)
 	require.True(t, due && !fresh)
-	require.NoError(t, table.Admit(testInfo("n2", "127.0.0.1:2", 4, 300), 3), "started again at its address")
+	require.NoError(t, table.Admit(testInfo("n2", "127.0.0.1:2", 4, 300), 3), "a restart at the same address")
 	table.Observe(first, LivenessDead, 4)
 	require.NoError(t, table.Admit(second, 5))
 	table.Observe(second, LivenessAlive, 5)
-	require.ErrorIs(t, table.Admit(first, 6), ErrNameConflict, "it is told, and the second has to go of itself")
+	require.ErrorIs(t, table.Admit(first, 6), ErrNameConflict, "the conflict is recorded, and the second incarnation has to give up the name itself")
 	require.Equal(t, first, table.NameConflicts()[0].Holder)
 
-	_, refused := table.NameHolder()
-	require.False(t, refused)
+	_, nameLost := table.NameHolder()
+	require.False(t, nameLost)
 	require.ErrorIs(t, table.Admit(testInfo("n1", "127.0.0.1:9", 9, 300), 7), ErrNameConflict)
-	_, refused = table.NameHolder()
-	require.False(t, refused, "this one was first")
-	require.NoError(t, table.Admit(testInfo("n1", "127.0.0.1:1", 8, 50), 8), "the process that ran here before")
+	_, nameLost = table.NameHolder()
+	require.False(t, nameLost, "the table's owner started first")
+	require.NoError(t, table.Admit(testInfo("n1", "127.0.0.1:1", 8, 50), 8), "an earlier process at the own address")
 	require.ErrorIs(t, table.Admit(testInfo("n1", "127.0.0.1:9", 9, 50), 9), ErrNameConflict)
-	holder, refused := table.NameHolder()
-	require.True(t, refused)
+	holder, nameLost := table.NameHolder()
+	require.True(t, nameLost)
 	require.Equal(t, uint64(9), holder.Incarnation)
 }
 
-func TestTheTableIsBounded(t *testing.T) {
+func TestTableIsBounded(t *testing.T) {
 	table := NewTable(testInfo("n0", "a:0", 1, 1), 4, 0)
 	for i := 1; i <= 3; i++ {
 		m := testInfo(fmt.Sprint("n", i), fmt.Sprint("a:", i), uint64(i+1), 1)
@@ -105,14 +106,14 @@
 	table.Observe(more, LivenessAlive, 5)
 	require.Len(t, table.Members(), 4)
 	table.Observe(testInfo("n2", "a:2", 3, 1), LivenessDead, 6)
-	require.NoError(t, table.Admit(more, 7), "one that is gone makes room")
+	require.NoError(t, table.Admit(more, 7), "a dead member is evicted for a new one")
 	table.Observe(more, LivenessAlive, 7)
 	require.Equal(t, Serving, table.state("n9"))
 	require.Equal(t, State(""), table.state("n2"))
 	table.Observe(more, LivenessDead, 8)
-	table.Tick(9)
+	table.RemoveExpired(9)
 	require.Equal(t, Dead, table.state("n9"))
-	table.Tick(8 + deadRetentionMillis + 1)
+	table.RemoveExpired(8 + deadRetentionMillis + 1)
 	require.Equal(t, State(""), table.state("n9"))
 	for i := range 100 {
 		_ = table.Admit(testInfo("n1", fmt.Sprint("b:", i), uint64(1000+i), 2), 10)
@@ -140,20 +141,21 @@
 
 func TestCommonFormats(t *testing.T) {
 	table := NewTable(testInfo("n1", "a:1", 1, 1), 8, 0)
-	old, far := testInfo("n2", "a:2", 2, 1), testInfo("n3", "a:3", 3, 1)
-	old.NewestFormat = 1
-	far.OldestFormat, far.NewestFormat = 5, 6
-	table.Observe(old, LivenessAlive, 1)
-	table.Observe(far, LivenessAlive, 1)
-	oldest, newest, apart := table.CommonFormats()
-	require.Equal(t, []any{1, 1, []string{"n3"}}, []any{oldest, newest, apart})
-	table.Observe(old, LivenessDead, 2)
+	older, tooNew := testInfo("n2", "a:2", 2, 1), testInfo("n3", "a:3", 3, 1)
+	older.NewestFormat = 1
+	tooNew.OldestFormat, tooNew.NewestFormat = 5, 6
+	table.Observe(older, LivenessAlive, 1)
+	table.Observe(tooNew, LivenessAlive, 1)
+	oldest, newest, incompatible := table.CommonFormats()
+	require.Equal(t, []any{1, 1, []string{"n3"}}, []any{oldest, newest, incompatible})
+	table.Observe(older, LivenessDead, 2)
 	_, newest, _ = table.CommonFormats()
-	require.Equal(t, 2, newest, "who is gone need not read it")
+	require.Equal(t, 2, newest, "dead members do not narrow the range")
 }
 
-// Whatever is admitted and observed, in whatever order: the table is bounded, has one entry for each name, retains its
-// owner's entry, and two tables that see the same claims agree on the incarnation that gives way.
+// For any order of admissions and observations, the table is bounded, has one entry for each name and retains
+// its owner's entry, and two tables that receive the same claims agree on the incarnation that has to give up
+// its name.
 func TestTableProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := testInfo("n0", "a:0", 1000, 10), testInfo("n0", "b:0", 2000, 20)
@@ -162,12 +164,12 @@
 		for now := range n {
 			i := testInfo(fmt.Sprint("n", rapid.IntRange(1, 8).Draw(t, "name")), fmt.Sprint("x:", rapid.IntRange(0, 2).Draw(t, "address")),
 				uint64(rapid.IntRange(1, 5).Draw(t, "instance")), float64(rapid.IntRange(1, 3).Draw(t, "started")))
-			alive, doubt := rapid.Bool().Draw(t, "alive"), rapid.Bool().Draw(t, "doubt")
+			alive, suspect := rapid.Bool().Draw(t, "alive"), rapid.Bool().Draw(t, "doubt")
 			for _, table := range tables {
 				if table.Admit(i, float64(now)) == nil {
-					table.Observe(i, livenessOf(alive, doubt), float64(now))
+					table.Observe(i, livenessOf(alive, suspect), float64(now))
 				}
-				table.Tick(float64(now))
+				table.RemoveExpired(float64(now))
 				seen := map[string]bool{}
 				for _, m := range table.Members() {
 					require.False(t, seen[m.Name])
--- a/internal/cluster/membership/view.go
+++ b/internal/cluster/membership/view.go
@@ -1,18 +1,21 @@
 package membership
 
-// View is what operators see of the members.
+// View is a snapshot of the members and counters, as the admin JSON shows it.
 type View struct {
-	Self              Info             `json:"self"`
-	NameHolder        *Info            `json:"refused,omitempty"` // the incarnation that holds this one's name; nil: this one
-	Members           []Member         `json:"members"`
-	NameConflicts     []NameConflict   `json:"twins"`
-	ConvergenceMillis float64          `json:"bound_ms"`        // see ConvergenceBoundMillis
-	Formats           [2]int           `json:"formats"`         // oldest and newest message format that all read
-	Incompatible      []string         `json:"apart,omitempty"` // members without a format in common with this one
-	Counters          map[string]int64 `json:"counters"`
+	Self Info `json:"self"`
+	// NameHolder is the incarnation that holds this member's name; nil if that is this incarnation.
+	NameHolder    *Info          `json:"refused,omitempty"`
+	Members       []Member       `json:"members"`
+	NameConflicts []NameConflict `json:"twins"`
+	// ConvergenceMillis is the result of ConvergenceBoundMillis.
+	ConvergenceMillis float64 `json:"bound_ms"`
+	// Formats and Incompatible are the results of Table.CommonFormats.
+	Formats      [2]int           `json:"formats"`
+	Incompatible []string         `json:"apart,omitempty"`
+	Counters     map[string]int64 `json:"counters"`
 }
 
-// View returns the present one.
+// View returns the current View.
 func (g *Gossip) View() View {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -23,8 +26,8 @@
 		ConvergenceMillis: ConvergenceBoundMillis(len(g.options.Peers)+1, g.options.ProbeInterval),
 		Counters:          g.transport.Counters.Snapshot(),
 	}
-	if g.lostSince > 0 {
-		holder := g.holder
+	if g.nameLostAt > 0 {
+		holder := g.nameHolder
 		v.NameHolder = &holder
 	}
 	v.Formats[0], v.Formats[1], v.Incompatible = g.table.CommonFormats()
--- a/internal/cluster/membership/watch.go
+++ b/internal/cluster/membership/watch.go
@@ -11,7 +11,7 @@
 	"ashstand/internal/clock"
 )
 
-// watch keeps the table up to date, joins members that are out of sight, and gives up a name that is lost.
+// watch keeps the table up to date, joins missing peers, and releases a lost name. It runs until Stop.
 func (g *Gossip) watch() {
 	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
@@ -23,7 +23,7 @@
 		case <-ticker.C:
 		}
 		now := g.options.Clock.Now()
-		if g.yieldLostName(now) {
+		if g.releaseLostName(now) {
 			continue
 		}
 		g.refresh(now)
@@ -32,54 +32,54 @@
 	}
 }
 
-// rejoinSchedule paces the attempts to join members that are out of sight.
+// rejoinSchedule is the backoff between attempts to join missing peers.
 type rejoinSchedule struct {
-	next    float64 // Unix milliseconds; 0: at once
+	next    float64 // time of the next attempt, Unix milliseconds; 0 if it is due at once
 	backoff time.Duration
 }
 
-// rejoin attempts to join a member that is out of sight, if one is due.
+// rejoin attempts to join a missing peer, if the backoff has passed.
 func (g *Gossip) rejoin(s *rejoinSchedule, now float64) {
-	missing := g.missing()
-	if len(missing) == 0 {
+	names := g.missingPeers()
+	if len(names) == 0 {
 		*s = rejoinSchedule{backoff: minRejoinBackoff}
 		return
 	}
-	if now < s.next || g.options.Break == breakRejoin {
+	if now < s.next || g.options.Break == disableRejoin {
 		return
 	}
-	g.join(missing)
+	g.join(names)
 	s.next = g.options.Clock.Now() + clock.Millis(s.backoff)*(1+g.random.Float64())/2
 	s.backoff = min(maxRejoinBackoff, 2*s.backoff)
 }
 
-// yieldLostName closes the sockets of an incarnation that lost its name, and opens them again after a backoff. It reports
-// whether the name is lost.
-func (g *Gossip) yieldLostName(now float64) bool {
+// releaseLostName closes the sockets if this incarnation lost its name, and opens them again after a backoff.
+// It reports whether the name is lost.
+func (g *Gossip) releaseLostName(now float64) bool {
 	g.mu.Lock()
 	holder, lost := g.table.NameHolder()
-	since, list := g.lostSince, g.list
-	if lost && since == 0 {
-		g.lostSince, g.holder, g.list = now, holder, nil
+	lostAt, list := g.nameLostAt, g.list
+	if lost && lostAt == 0 {
+		g.nameLostAt, g.nameHolder, g.list = now, holder, nil
 	}
 	g.mu.Unlock()
 	switch {
 	case !lost:
 		return false
-	case since == 0:
+	case lostAt == 0:
 		slog.Error("cluster: the member name is held by an instance that started first; staying out of the cluster",
 			"name", holder.Name, "instance", fmt.Sprintf(incarnationFormat, holder.Incarnation), "address", holder.Address,
 			"backoff", nameConflictBackoff)
 		if list != nil {
-			_ = list.Shutdown() // without Leave, which would announce the end of the name's holder
+			_ = list.Shutdown() // without Leave, which would announce that the name's holder leaves
 		}
-	case now-since > clock.Millis(nameConflictBackoff):
+	case now-lostAt > clock.Millis(nameConflictBackoff):
 		g.reopen(now)
 	}
 	return true
 }
 
-// reopen starts memberlist again; after an error the backoff begins anew.
+// reopen starts memberlist again. After an error the backoff starts over.
 func (g *Gossip) reopen(now float64) {
 	err := g.open()
 	if err == nil {
@@ -87,13 +87,13 @@
 	}
 	slog.Error("cluster: the sockets cannot be opened again", "error", err)
 	g.mu.Lock()
-	g.lostSince = now
+	g.nameLostAt = now
 	g.mu.Unlock()
 }
 
-// refresh copies states from memberlist, which does not announce suspicions.
+// refresh copies the members' states from memberlist, because memberlist has no callback for suspicions.
 func (g *Gossip) refresh(now float64) {
-	list := g.current()
+	list := g.activeList()
 	if list == nil {
 		return
 	}
@@ -103,7 +103,7 @@
 	for _, n := range nodes {
 		info, err := DecodeInfo(n.Name, n.Address(), n.Meta)
 		if err != nil {
-			continue // the delegate has counted it
+			continue // admitNode has counted it
 		}
 		liveness := LivenessAlive
 		if n.State == memberlist.StateSuspect {
@@ -111,11 +111,11 @@
 		}
 		g.table.Observe(info, liveness, now)
 	}
-	g.table.Tick(now)
+	g.table.RemoveExpired(now)
 }
 
-// missing returns the configured peers that are out of sight, sorted.
-func (g *Gossip) missing() (names []string) {
+// missingPeers returns the names of the configured peers that are dead or not in the table, sorted.
+func (g *Gossip) missingPeers() (names []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	present := map[string]bool{g.options.Self.Name: true}
@@ -131,7 +131,8 @@
 	return names
 }
 
-// join exchanges the complete state with one of these members, chosen at random: one that answers knows the others.
+// join exchanges the complete state with one of these peers, chosen at random. One is enough: a peer that
+// answers knows the other members.
 func (g *Gossip) join(names []string) {
 	name := names[g.random.IntN(len(names))]
 	g.mu.Lock()
--- a/internal/cluster/transport/counters.go
+++ b/internal/cluster/transport/counters.go
@@ -2,24 +2,24 @@
 
 import "sync/atomic"
 
-// Counters count what arrived, what was sent and what was dropped.
+// Counters count the datagrams and streams that were received, sent and dropped.
 type Counters struct {
 	Packets     atomic.Int64 // datagrams received
 	PacketBytes atomic.Int64
-	Sent        atomic.Int64 // datagrams
+	Sent        atomic.Int64 // datagrams sent
 	SentBytes   atomic.Int64
-	Streams     atomic.Int64 // accepted
-	StreamBytes atomic.Int64 // read
-	Dialed      atomic.Int64 // streams
+	Streams     atomic.Int64 // streams accepted
+	StreamBytes atomic.Int64 // bytes read from streams
+	Dialed      atomic.Int64 // streams dialed
 
 	Oversized       atomic.Int64 // datagrams and streams that were too long
-	Duplicates      atomic.Int64 // datagrams that came twice
-	QueueFull       atomic.Int64 // datagrams that the receiver had no room for
-	StreamsRejected atomic.Int64 // too many were open, or the receiver had no room
-	Unreachable     atomic.Int64 // sends and dials that failed at once
+	Duplicates      atomic.Int64 // datagrams dropped as duplicates
+	QueueFull       atomic.Int64 // datagrams dropped because the receiver's queue was full
+	StreamsRejected atomic.Int64 // streams closed because too many were open or the receiver's queue was full
+	Unreachable     atomic.Int64 // sends and dials that failed
 }
 
-// Snapshot returns the counters by the names that the admin JSON gives them.
+// Snapshot returns the counters by their names in the admin JSON.
 func (c *Counters) Snapshot() map[string]int64 {
 	return map[string]int64{
 		"packets":      c.Packets.Load(),
--- a/internal/cluster/transport/errors.go
+++ b/internal/cluster/transport/errors.go
@@ -15,7 +15,7 @@
 // Code is a stable identifier of the error.
 func (e *ListenError) Code() string { return "cluster_listen" }
 
-// Advice says what an operator can do.
+// Advice tells an operator how to resolve the error.
 func (e *ListenError) Advice() string {
 	return "Set listen in the cluster block to an address of this machine that no other process uses, for TCP and UDP alike."
 }
--- a/internal/cluster/transport/golden_test.go
+++ b/internal/cluster/transport/golden_test.go
@@ -16,8 +16,8 @@
 
 var updateGolden = flag.Bool("update-golden", false, "write the golden files instead of comparing with them")
 
-// golden compares bytes with a committed file and returns what the file holds.
-func golden(t *testing.T, name string, got []byte) []byte {
+// compareWithGolden compares bytes with a committed file and returns the content of the file.
+func compareWithGolden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
 	if *updateGolden {
@@ -46,7 +46,7 @@
 	return true
 }
 
-// A datagram and a stream carry what they are given and nothing else: no length, no greeting, no trailer.
+// A datagram and a stream carry the bytes that they are given and nothing else: no length, header or trailer.
 func TestGoldenFrames(t *testing.T) {
 	const datagram, stream = "a datagram \x00\x01\xfe\xff", "the first bytes of a stream \x00\x01\xfe\xff"
 	to := &recordingReceiver{make(chan []byte, 4), make(chan net.Conn, 4)}
@@ -65,7 +65,7 @@
 	require.NoError(t, udp.SetReadDeadline(time.Now().Add(5*time.Second)))
 	n, _, err := udp.ReadFrom(b)
 	require.NoError(t, err)
-	stored := golden(t, "datagram.bin", b[:n])
+	stored := compareWithGolden(t, "datagram.bin", b[:n])
 	_, err = udp.WriteTo(stored, net.UDPAddrFromAddrPort(tr.Address().AddrPort()))
 	require.NoError(t, err)
 	require.Equal(t, datagram, string(<-to.packets))
@@ -80,7 +80,7 @@
 	require.NoError(t, out.Close())
 	b, err = io.ReadAll(in)
 	require.NoError(t, err)
-	stored = golden(t, "stream.bin", b)
+	stored = compareWithGolden(t, "stream.bin", b)
 	back, err := net.Dial("tcp", tr.Address().String())
 	require.NoError(t, err)
 	_, err = back.Write(stored)
@@ -91,7 +91,7 @@
 	require.Equal(t, stream, string(b))
 }
 
-// The counters that operators see keep their names.
+// The names of the counters in the admin JSON do not change.
 func TestGoldenCounters(t *testing.T) {
 	var c Counters
 	for i, counter := range []*atomic.Int64{
@@ -102,5 +102,5 @@
 	}
 	b, err := json.MarshalIndent(c.Snapshot(), "", "\t")
 	require.NoError(t, err)
-	golden(t, "counters.json", b)
+	compareWithGolden(t, "counters.json", b)
 }
--- a/internal/cluster/transport/receive.go
+++ b/internal/cluster/transport/receive.go
@@ -9,15 +9,16 @@
 )
 
 const (
-	// maxPacketBytes is the longest datagram that is accepted. Members send at most 1,400 bytes, the limit of a usual
-	// path.
+	// maxPacketBytes is the longest datagram that is accepted. Members send at most 1,400 bytes, to stay
+	// below the usual path MTU.
 	maxPacketBytes = 2048
-	// maxOpenStreams is how many streams may be open when another one is accepted. Each carries one message or exchange.
+	// maxOpenStreams is the number of open streams, accepted and dialed, from which on no more are accepted.
+	// Each stream carries one message or one exchange of the complete state.
 	maxOpenStreams = 64
-	// duplicateWindow is how many datagrams are remembered to detect duplicates. At 1,000 datagrams a second that is
-	// four seconds; a later duplicate is stale by its content.
+	// duplicateWindow is how many datagrams are remembered to detect duplicates. At 1,000 datagrams a second
+	// they cover four seconds; the content of a later duplicate is stale, so that accepting it does no harm.
 	duplicateWindow = 4096
-	// readErrorDelay keeps a reader from spinning on an error that lasts.
+	// readErrorDelay is the pause after an error of a socket. It prevents a busy loop on a persistent error.
 	readErrorDelay = 5 * time.Millisecond
 )
 
@@ -27,7 +28,7 @@
 	for {
 		n, from, err := t.udp.ReadFrom(buffer)
 		if err != nil {
-			if t.isClosed(err) {
+			if t.stopAfterError(err) {
 				return
 			}
 			continue
@@ -51,7 +52,7 @@
 	for {
 		c, err := t.tcp.AcceptTCP()
 		if err != nil {
-			if t.isClosed(err) {
+			if t.stopAfterError(err) {
 				return
 			}
 			continue
@@ -70,8 +71,9 @@
 	}
 }
 
-// isClosed tells whether a reader has to end after an error. Other errors pass, after a delay.
-func (t *Transport) isClosed(err error) bool {
+// stopAfterError reports whether a reader has to stop after an error, because the transport or its socket is
+// closed. It waits for readErrorDelay, unless the transport is closed.
+func (t *Transport) stopAfterError(err error) bool {
 	select {
 	case <-t.ctx.Done():
 		return true
@@ -80,8 +82,8 @@
 	}
 }
 
-// duplicateFilter remembers the hashes of the latest datagrams. Each datagram is encrypted with a nonce of its own, so
-// equal bytes are a duplicate. It belongs to the goroutine that reads datagrams.
+// duplicateFilter remembers the hashes of the latest datagrams. Each datagram is encrypted with its own
+// nonce, so equal bytes are a duplicate. Only the goroutine that reads datagrams uses it.
 type duplicateFilter struct {
 	hashes map[uint64]struct{}
 	ring   []uint64 // the same hashes in order of arrival
@@ -92,7 +94,7 @@
 	return &duplicateFilter{hashes: make(map[uint64]struct{}, window), ring: make([]uint64, window)}
 }
 
-// seen tells whether the same bytes came before, and remembers them.
+// seen reports whether the same bytes were received before, and remembers them.
 func (f *duplicateFilter) seen(b []byte) bool {
 	hash := xxhash.Sum64(b)
 	if _, ok := f.hashes[hash]; ok {
--- a/internal/cluster/transport/transport_test.go
+++ b/internal/cluster/transport/transport_test.go
@@ -34,7 +34,7 @@
 	require.ErrorAs(t, err, &failed)
 }
 
-// A datagram that comes twice or is too long is dropped and counted.
+// Duplicate datagrams and datagrams that are too long are dropped and counted.
 func TestDatagramsAreFiltered(t *testing.T) {
 	to, receiver := listen(t, nil)
 	from, _ := listen(t, map[string]string{"n1": to.Address().String()})
@@ -54,11 +54,11 @@
 	require.True(t, f.seen([]byte("a")))
 	require.False(t, f.seen([]byte("b")))
 	require.False(t, f.seen([]byte("c")))
-	require.False(t, f.seen([]byte("a")), "the window has passed")
+	require.False(t, f.seen([]byte("a")), "the hash has left the window")
 	require.True(t, f.seen([]byte("c")))
 }
 
-// A stream ends after the most that any member sends.
+// A stream is closed when more than maxStreamBytes are read from it.
 func TestStreamsAreBounded(t *testing.T) {
 	to, receiver := listen(t, nil)
 	from, _ := listen(t, nil)
@@ -71,10 +71,11 @@
 	var tooLong *StreamTooLongError
 	require.ErrorAs(t, err, &tooLong)
 	require.Equal(t, int64(1), to.Counters.Oversized.Load())
-	require.Zero(t, to.openStreams.Load(), "it is closed")
+	require.Zero(t, to.openStreams.Load(), "the stream is closed")
 }
 
-// Close ends dials and streams that were dialed, so that nobody who uses them outlives the transport.
+// Close aborts dials and closes dialed streams, so that no goroutine that uses one blocks after the transport
+// is closed.
 func TestCloseEndsDialedStreams(t *testing.T) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -92,7 +93,7 @@
 	case err := <-ended:
 		require.ErrorIs(t, err, net.ErrClosed)
 	case <-time.After(testTimeout):
-		t.Fatal("the stream outlives the transport")
+		t.Fatal("the stream is still open after the transport is closed")
 	}
 	require.Zero(t, tr.openStreams.Load())
 	_, err = tr.Dial("n1", silent.Addr().String(), testTimeout)
