--- a/internal/net/pg/command.go
+++ b/internal/net/pg/command.go
@@ -5,41 +5,42 @@
 	"fmt"
 )
 
-// CommandKind tells the commands of a client apart.
+// CommandKind is the kind of a client's command.
 type CommandKind uint8
 
-// The kinds of commands.
+// Kinds of client commands.
 const (
 	Incomplete        CommandKind = iota // the next message is not complete yet
 	Startup                              // the startup message of a session
 	EncryptionRequest                    // a request for TLS or GSSAPI
 	Cancel                               // a request to cancel a query
 	Query                                // a simple query; Text holds it
-	Sync                                 // the end of a batch of the extended protocol
-	Extended                             // a message of the extended protocol, the first of its batch
+	Sync                                 // the end of a batch of extended-protocol messages
+	Extended                             // the first extended-protocol message of a batch
 	Function                             // a function call
-	Ignored                              // nothing to answer
+	Ignored                              // a message that needs no answer
 	Terminate                            // the client closes the connection
-	Malformed                            // nothing after this can be understood; Text says why
-	Overloaded                           // made by the front: what comes after this is not read for want of memory; Text says why
+	Malformed                            // a protocol error after which the stream can't be parsed; Text holds the reason
+	Overloaded                           // added by the front when memory runs out: later input is not read; Text holds the reason
 )
 
 // Command is one message of a client.
 type Command struct {
 	Kind  CommandKind
 	Text  string
-	Used  int    // bytes that it took
-	Minor bool   // Startup: a later minor version was asked for
-	Key   uint64 // Cancel: of the connection whose query is meant, as it was given out; 0: it makes no sense
+	Used  int    // number of bytes that the message took in the input
+	Minor bool   // for Startup: the client asked for a newer minor version
+	Key   uint64 // for Cancel: the key of the connection whose query is to be canceled; 0 if the request is malformed
 }
 
-// Parser cuts what a client sends into commands. The front uses it on live connections, the replay on captures.
+// Parser splits a client's byte stream into commands. The front uses it on live connections, the replay on
+// captures.
 type Parser struct {
 	started       bool
-	skipUntilSync bool // until Sync, after a message of the extended protocol
+	skipUntilSync bool // an extended-protocol message was read: messages are ignored until Sync
 }
 
-// Next reads the command at the start of b.
+// Next parses the command at the start of b.
 func (p *Parser) Next(b []byte) Command {
 	if !p.started {
 		return p.startup(b)
@@ -105,14 +106,15 @@
 	return Command{Kind: Startup, Used: size, Minor: code != protocolVersion3}
 }
 
-// readAhead is a look at what a client sent behind a request that is not answered yet.
+// readAhead scans the bytes that a client sent after a request that is not answered yet.
 type readAhead struct {
-	scanned int // bytes that were looked through
-	needed  int // less than this holds no whole message more
+	scanned int // number of bytes scanned so far
+	needed  int // number of buffered bytes from which the next message can be complete
 }
 
-// hasTerminate reports whether the client has ended its session there. A client sends that last and closes its connection, so it
-// waits for no answer any more. n bytes are buffered, and peek returns them.
+// hasTerminate reports whether the scanned bytes contain a Terminate message. A client sends Terminate as its
+// last message and closes its connection, so it no longer waits for an answer. n is the number of buffered
+// bytes, which peek returns.
 func (l *readAhead) hasTerminate(n int, peek func(int) ([]byte, error), most int) bool {
 	if n < max(l.needed, l.scanned+5) {
 		return false
@@ -124,7 +126,7 @@
 	for len(b)-l.scanned >= 5 {
 		kind, _, rest, ok, err := nextMessage(b[l.scanned:], most)
 		switch {
-		case err != nil: // it is told so when its turn comes
+		case err != nil: // the error is reported when the message is processed
 			return false
 		case !ok:
 			l.needed = l.scanned + 1 + int(binary.BigEndian.Uint32(b[l.scanned+1:]))
--- a/internal/net/pg/command_queue.go
+++ b/internal/net/pg/command_queue.go
@@ -1,31 +1,34 @@
 package pg
 
-// maxQueuedRuns bounds the runs of commands that one client may have waiting. Runs are short only where commands of different
-// kinds alternate; queries reach the bound in bytes first.
+// maxQueuedRuns limits the runs of commands that one client may have queued. Runs are short only where commands
+// of different kinds alternate; queries reach the limit in bytes first.
 const maxQueuedRuns = 4096
 
-// queuedCommand is a command that waits for the answers before it, or a run of commands without text that are alike.
+// queuedCommand is a command that waits until the commands before it are answered, or a run of commands without
+// text that are of the same kind and were rejected or accepted alike.
 type queuedCommand struct {
 	Command
-	rejected bool // a query whose text was dropped, since too much was sent ahead
-	count    int
-	bytes    int // that count towards the bounds of what was read ahead
+	rejected bool // a query whose text was dropped because the client sent too much ahead of its answers
+	count    int  // number of commands in the run
+	bytes    int  // bytes that count towards the read-ahead limit
 }
 
-// commandQueue is the commands of one client that wait for the answers before them, in the order in which they came. Its memory
-// is bounded whatever the client sends: past the bound the text of a query is dropped, and the query is rejected when its turn
-// comes. So the connection is read without a pause, which is how its end is heard, and no command is left without an answer.
-// The event loop owns it.
+// commandQueue holds the commands of one client that wait until the commands before them are answered, in order
+// of arrival. Its memory is bounded whatever the client sends: beyond the limit, the text of a query is dropped
+// and the query is rejected when its turn comes. This allows the front to read the connection without pausing,
+// so that it detects the client's disconnect, and every command still gets an answer. The queue is confined to
+// the event loop.
 type commandQueue struct {
 	runs  []queuedCommand
 	bytes int
-	ended bool // what the client sends from now on is not read: nothing behind the last command can be answered
+	ended bool // later input is not read, since nothing after the last command can be answered
 }
 
-// isEmpty reports whether no command waits.
+// isEmpty reports whether no command is queued.
 func (q *commandQueue) isEmpty() bool { return len(q.runs) == 0 }
 
-// push appends a command; bytes past limit are not retained. false: there is no room for another run.
+// push appends a command. If its bytes exceed limit, they are not retained. It returns false if the queue has
+// no room for another run.
 func (q *commandQueue) push(c Command, limit int) bool {
 	next := queuedCommand{Command: c, count: 1}
 	if q.bytes+c.Used <= limit {
@@ -45,7 +48,7 @@
 	return true
 }
 
-// extendLast adds a command to the last run, if they are alike.
+// extendLast adds a command to the last run if both are alike, and reports whether it did.
 func (q *commandQueue) extendLast(next *queuedCommand) bool {
 	if len(q.runs) == 0 || next.Text != "" {
 		return false
@@ -59,13 +62,13 @@
 	return true
 }
 
-// end appends a last command, whether there is room or not; nothing that comes behind it is read.
+// end appends the final command regardless of the limits; no input after it is read.
 func (q *commandQueue) end(c Command) {
 	q.runs = append(q.runs, queuedCommand{Command: c, count: 1})
 	q.ended = true
 }
 
-// pop takes the first command. ok is false where none waits.
+// pop removes and returns the first command. ok is false if the queue is empty.
 func (q *commandQueue) pop() (c queuedCommand, ok bool) {
 	if len(q.runs) == 0 {
 		return queuedCommand{}, false
@@ -88,7 +91,8 @@
 	return c, true
 }
 
-// rejectNewest drops the text of the newest queries until n bytes are free, and returns how many are.
+// rejectNewest drops the text of the newest queries until n bytes are freed, and returns the number of bytes
+// freed.
 func (q *commandQueue) rejectNewest(n int) (freed int) {
 	for i := len(q.runs) - 1; i >= 0 && freed < n; i-- {
 		r := &q.runs[i]
--- a/internal/net/pg/errors.go
+++ b/internal/net/pg/errors.go
@@ -7,17 +7,17 @@
 	"ashstand/internal/edge"
 )
 
-// Faults of what a peer sent.
+// Protocol errors of a peer.
 var (
 	errMessageLength     = errors.New("a message's length is out of bounds")
 	errUnexpectedMessage = errors.New("an answer of a form that no request asks for")
-	// errMalformed marks an answer that can't be read. Its request has run, and nothing else on its connection can be
-	// understood from what remains of it.
+	// errMalformed marks an answer that can't be parsed. Its request has run, and the remaining bytes on the
+	// connection can't be interpreted.
 	errMalformed   = errors.New("spoilt")
 	errUnsolicited = fmt.Errorf("%w: the db host spoke unasked", errMalformed)
 )
 
-// Reasons for which a connection to a db host is not there, or is not used.
+// Reasons why a connection to a database host is unavailable or must not be used.
 var (
 	errClosed          = errors.New("the connection was closed")
 	errGateClosed      = errors.New("the gate did not open")
@@ -29,14 +29,14 @@
 	errPasswordNeeded  = errors.New("the db host asks for a password, which is not supported")
 )
 
-// HandshakeError says that a db host answered a startup message with an error. It wraps edge.ErrHostRejected where the host
-// has no capacity.
+// HandshakeError reports that a database host answered a startup message with an error. It wraps
+// edge.ErrHostRejected if the host has no capacity left (SQLSTATE 53300).
 type HandshakeError struct {
 	SQLState string
 	Text     string
 }
 
-// Error names what the host answered.
+// Error returns a message with the host's error text.
 func (e *HandshakeError) Error() string {
 	if e.SQLState == string(stateTooManyConnections) {
 		return fmt.Sprintf("%v: %s", edge.ErrHostRejected, e.Text)
@@ -44,7 +44,7 @@
 	return fmt.Sprintf("the db host turned the connection away: %s %s", e.SQLState, e.Text)
 }
 
-// Unwrap is edge.ErrHostRejected where the host has no capacity.
+// Unwrap returns edge.ErrHostRejected if the host has no capacity left, and nil otherwise.
 func (e *HandshakeError) Unwrap() error {
 	if e.SQLState == string(stateTooManyConnections) {
 		return edge.ErrHostRejected
@@ -52,23 +52,23 @@
 	return nil
 }
 
-// StartupOptionError names an item of the startup parameter "options" that sets nothing.
+// StartupOptionError reports an item of the startup parameter "options" that is not a valid assignment.
 type StartupOptionError struct {
 	Option   string
-	Expected string // the form that it should have
+	Expected string // the required form of the item
 }
 
-// Error names the item and the form that it should have.
+// Error returns a message with the item and its required form.
 func (e *StartupOptionError) Error() string {
 	return fmt.Sprintf("the startup message's options hold %q, which is no %s", e.Option, e.Expected)
 }
 
-// VerifierError says why a text is no password verifier.
+// VerifierError reports why a text is not a valid password verifier.
 type VerifierError struct {
-	Detail string // "": it has another form
+	Detail string // the part that is invalid; empty if the text as a whole has another form
 }
 
-// Error gives the form of a verifier, and what is wrong with this one.
+// Error returns a message with the required form of a verifier and the invalid part of this one.
 func (e *VerifierError) Error() string {
 	text := "a verifier is SCRAM-SHA-256$iterations:salt$StoredKey:ServerKey"
 	if e.Detail != "" {
--- a/internal/net/pg/front.go
+++ b/internal/net/pg/front.go
@@ -15,47 +15,69 @@
 	"ashstand/internal/net/loop"
 )
 
-// Bounds of the front in statement mode, in bytes and milliseconds.
+// Limits of the front in statement mode, in bytes and milliseconds.
 const (
-	maxUnreadBytes             = maxQueryBytes + 64<<10 // of one client at the least: a query, and what it sends ahead
-	readAheadFraction          = 8                      // of what all clients may send ahead, one may send so much, if that is more
-	maxUnsentMillis            = 20e3                   // for which a client may leave its answer in our buffer
-	maxSilentMillis            = 2200                   // for which it may keep us waiting for a complete message, or for its first request
-	minIdleMillis              = 100                    // after its answer a connection may be closed in favour of a new one
-	minSilentMillis            = 100                    // and one on which nothing ever came
-	maxIdleUnderPressureMillis = 1000                   // while many places are taken, no connection stays idle for longer
-	maxIdleUsedOnceMillis      = 50                     // and none that was used once
-	maxInvalidRequests         = 16                     // requests in a row that make no sense
-	maxLingerMillis            = 500                    // for which a client that was sent away may go on sending
-	maxLingerBytes             = 256 << 10              // and how much of that is read
-	replyBatchBytes            = 16 << 10               // of what is answered at once, that is gathered for one write
-	pressureFraction           = 5                      // many places are taken if more than one in so many is
-	maxShutdownReadBytes       = 4 << 10                // of what a client that is sent away has sent already
+	// maxUnreadBytes is the least read-ahead limit of a client: one query, and 64 KiB sent ahead of its answer.
+	maxUnreadBytes = maxQueryBytes + 64<<10
+	// readAheadFraction: one client may send ahead one such part of the limit for all clients, if that exceeds
+	// maxUnreadBytes.
+	readAheadFraction = 8
+	// maxUnsentMillis is how long a client may leave its answer in the pooler's send buffer.
+	maxUnsentMillis = 20e3
+	// maxSilentMillis is how long a client may take to complete a message, or to send its first request.
+	maxSilentMillis = 2200
+	// minIdleMillis is how long after its last answer a connection can be closed to make room for a new one.
+	minIdleMillis = 100
+	// minSilentMillis is how long after it was opened a connection that never sent anything can be closed to
+	// make room for a new one.
+	minSilentMillis = 100
+	// maxIdleUnderPressureMillis is how long a connection may stay idle while the table is under pressure.
+	maxIdleUnderPressureMillis = 1000
+	// maxIdleUsedOnceMillis is how long a connection that sent only one request may stay idle under pressure.
+	maxIdleUsedOnceMillis = 50
+	// maxInvalidRequests is how many invalid requests in a row a client may send.
+	maxInvalidRequests = 16
+	// maxLingerMillis is how long the front goes on reading from a client after the final error.
+	maxLingerMillis = 500
+	// maxLingerBytes is how much the front reads from a client after the final error.
+	maxLingerBytes = 256 << 10
+	// replyBatchBytes is the size from which immediate replies that were gathered are written in one system
+	// call.
+	replyBatchBytes = 16 << 10
+	// pressureFraction: the table is under pressure if more than one in so many connections is open.
+	pressureFraction = 5
+	// maxShutdownReadBytes is how much of its input is read when a connection is rejected right after its
+	// accept.
+	maxShutdownReadBytes = 4 << 10
 )
 
-// SweepInterval is the pace of the fronts' Sweep.
+// SweepInterval is the interval at which the Sweep method of each front is called.
 const SweepInterval = 50 * time.Millisecond
 
-// FrontLimits bound the front.
+// FrontLimits are the limits of a Front.
 type FrontLimits struct {
-	Clients          int     // connections; an eighth of them is kept for telling others that there is no room
-	Bytes            int     // of all clients that are unread
-	RetryAfterMillis float64 // what is refused here may come again after so long; 0: no advice
+	// Clients is the maximum number of client connections. One eighth of them is reserved for connections that
+	// are rejected with an error because the rest is in use.
+	Clients int
+	// Bytes is the maximum size of the unprocessed input of all clients together.
+	Bytes int
+	// RetryAfterMillis is the Retry-After sent with rejections; 0 sends none.
+	RetryAfterMillis float64
 }
 
-// Front serves clients in statement mode. Its methods may be called from any goroutine. All that is not atomic belongs to the
-// event loop; requests run on goroutines.
+// Front serves clients in statement mode. Its methods may be called from any goroutine. All fields that are not
+// atomic are confined to the event loop. Each request runs on a goroutine of its own.
 type Front struct {
 	edge        *edge.Edge
 	limits      atomic.Pointer[FrontLimits]
 	draining    atomic.Bool
-	terminating atomic.Bool     // the process is about to end
-	eventLoop   atomic.Value    // gnet.EventLoop, once somebody came
-	answers     *loop.TaskQueue // that requests bring back to the event loop; set with it
+	terminating atomic.Bool     // the process is about to exit
+	eventLoop   atomic.Value    // gnet.EventLoop, set when the first client connects
+	answers     *loop.TaskQueue // delivers answers of requests to the event loop; set together with eventLoop
 
 	clients     map[*client]gnet.Conn
-	cancelKeys  map[uint64]*client // by what a cancel request names
-	unreadBytes int                // of all clients
+	cancelKeys  map[uint64]*client // clients by the key that a cancel request contains
+	unreadBytes int                // total of all clients' unreadBytes
 	lastNumber  uint32
 
 	clientLimitLog loop.ThrottledLog
@@ -63,17 +85,17 @@
 	slowReaderLog  loop.ThrottledLog
 }
 
-// NewFront returns a front that brings requests to e.
+// NewFront returns a front that passes requests to e.
 func NewFront(e *edge.Edge, limits FrontLimits) *Front {
 	f := &Front{edge: e, clients: map[*client]gnet.Conn{}, cancelKeys: map[uint64]*client{}}
 	f.SetLimits(limits)
 	return f
 }
 
-// SetLimits takes other bounds for the connections and bytes to come.
+// SetLimits replaces the limits. They apply to new connections and new input.
 func (f *Front) SetLimits(limits FrontLimits) { f.limits.Store(&limits) }
 
-// Accept makes the handler of a connection; it is called on the event loop.
+// Accept returns the handler for a new connection. It is called on the event loop.
 func (f *Front) Accept(c gnet.Conn) (loop.Handler, []byte, gnet.Action) {
 	if f.answers == nil {
 		f.answers = loop.NewTaskQueue(c.EventLoop())
@@ -86,12 +108,12 @@
 	}
 	room := len(f.clients) < served
 	if !room && len(f.clients) >= f.limits.Load().Clients {
-		f.clientLimitLog.Printf("front: %d client connections are open, one more is closed", len(f.clients))
+		f.clientLimitLog.Printf("front: %d client connections are open, closing a new one", len(f.clients))
 		return nil, nil, f.rejectConnection()
 	}
 	ctx, cancel := context.WithCancelCause(context.Background())
 	h.ctx, h.disconnect = ctx, func() { cancel(&edge.DisconnectedError{AtMillis: f.edge.Now()}) }
-	h.cancelRequest = func() {} // until it has a request
+	h.cancelRequest = func() {} // replaced when a request starts
 	f.clients[h] = c
 	if f.terminating.Load() {
 		return h, nil, h.closeWithRejection(c, lifecycle.ClosedCutting, stateCannotConnectNow, textRestarting, "")
@@ -99,7 +121,7 @@
 	if room {
 		return h, nil, gnet.None
 	}
-	f.clientLimitLog.Printf("front: %d client connections are open and in use, one more is sent away", len(f.clients))
+	f.clientLimitLog.Printf("front: %d client connections are open and in use, rejecting a new one", len(f.clients))
 	f.edge.RecordRejection(metrics.RejectTableFull, "connection", h.number)
 	return h, nil, h.closeWithRejection(c, lifecycle.ClosedTableFull, stateTooManyConnections, "too many connections", f.retryAfter())
 }
@@ -112,10 +134,12 @@
 	return strconv.Itoa(int(after))
 }
 
-// evictLeastUseful closes the connection that is missed least: one that was sent away, else one on which nothing ever
-// came, else the one that was idle for longest. Connections that asked once and stayed would else fill the table
-// for good, or for the 2 s that are usual: clients that open one for each request do that within a second. A client
-// whose next request crosses the close sends it once more; one that finds no free place has lost its request.
+// evictLeastUseful closes one connection to make room, and reports whether it found one. It prefers a
+// connection that already got its final error, then one that never sent anything, then the one that has been
+// idle the longest. Without eviction, connections that sent one request and stayed open would fill the table
+// permanently, or for the usual idle time of 2 s: clients that open a connection per request do so within a
+// second. A client whose next request crosses the close sends it again, whereas a client that finds no free
+// connection slot has lost its request.
 func (f *Front) evictLeastUseful(now float64) bool {
 	var least *client
 	rank := 0
@@ -143,21 +167,24 @@
 	return true
 }
 
-// EvictClient is for loop.ExhaustionPolicy: it closes the client that is missed least.
+// EvictClient is called as part of the loop.ExhaustionPolicy. It closes the least useful client connection, and
+// reports whether it found one.
 func (f *Front) EvictClient() bool { return f.evictLeastUseful(f.edge.Now()) }
 
-// Reject is loop.Scarce's. What the client has sent is read first: a close over unread bytes is a reset.
+// Reject is called as part of the loop.ExhaustionPolicy. It returns the error for a connection that is closed
+// right after its accept. It first reads what the client has sent, since closing a socket with unread bytes
+// resets the connection.
 func (f *Front) Reject(c gnet.Conn) []byte {
 	b := make([]byte, maxShutdownReadBytes)
 	_, _ = syscall.Read(c.Fd(), b)
 	return encodeUntried(severityFatal, stateTooManyConnections, "too many connections", f.retryAfter())
 }
 
-// forEachClient does something on the loop for every connection.
+// forEachClient calls do on the event loop for every connection.
 func (f *Front) forEachClient(do func(h *client, c gnet.Conn)) {
 	l, ok := f.eventLoop.Load().(gnet.EventLoop)
 	if !ok {
-		return // nobody ever came
+		return // no client ever connected
 	}
 	_ = l.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
 		for h, c := range f.clients {
@@ -167,7 +194,8 @@
 	}))
 }
 
-// Sweep sends away clients that keep us waiting; call it every SweepInterval.
+// Sweep closes client connections that exceed a time limit or are idle under pressure or while the front
+// drains. It must be called every SweepInterval.
 func (f *Front) Sweep() {
 	now := f.edge.Now()
 	many := f.limits.Load().Clients / pressureFraction
@@ -193,9 +221,10 @@
 	})
 }
 
-// boundUnread keeps what clients have sent ahead within its bound: of the client that has most, the newest queries are
-// rejected. One that has most in a message that is not complete is told to go, behind the answers that it is owed. action is
-// for the client that happens to speak.
+// boundUnread keeps the unprocessed input of all clients within its limit. It rejects the newest queries of the
+// client that holds the most. If that client has no queued query to drop, its bytes are in an incomplete
+// message: it is disconnected after the answers that it is still owed. current is the client whose input is
+// being processed, and action applies to it.
 func (f *Front) boundUnread(speaker *client) (action gnet.Action) {
 	for limit := f.limits.Load().Bytes; f.unreadBytes > limit; {
 		most := speaker
@@ -209,7 +238,7 @@
 			return action
 		}
 		c := f.clients[most]
-		f.unreadLimitLog.Printf("front: a client has %d bytes unread, %d of all clients: its newest requests are rejected", most.unreadBytes, f.unreadBytes)
+		f.unreadLimitLog.Printf("front: a client has %d unread bytes, all clients together %d: rejecting its newest requests", most.unreadBytes, f.unreadBytes)
 		if most.queue.rejectNewest(f.unreadBytes-limit) > 0 {
 			most.countUnread(c)
 			continue
@@ -223,7 +252,8 @@
 	return action
 }
 
-// endOverloaded reads no more of a client and tells it to go, behind the answers that it is owed.
+// endOverloaded stops reading from a client and disconnects it with an error after the answers that it is still
+// owed.
 func (h *client) endOverloaded(c gnet.Conn) gnet.Action {
 	_, _ = c.Discard(-1)
 	h.queue.end(Command{Kind: Overloaded, Text: "the messages under way leave no memory for one more"})
@@ -231,13 +261,13 @@
 	return h.handleQueued(c)
 }
 
-// readAheadLimit returns how much of one client may wait, in bytes.
+// readAheadLimit returns how many bytes of one client's commands may be queued.
 func (f *Front) readAheadLimit() int {
 	return max(maxUnreadBytes, f.limits.Load().Bytes/readAheadFraction)
 }
 
-// cancel gives up the request that is under way on the connection with this key. Its client gets an error, and what it
-// sent ahead is served. A key that was not given out here does nothing: it may be another pooler's.
+// cancel cancels the request in flight on the connection with this key. Its client gets an error, and the
+// commands that it sent ahead are served. An unknown key is ignored: another pooler may have issued it.
 func (f *Front) cancel(key uint64) {
 	if h := f.cancelKeys[key]; h != nil && h.requestInFlight {
 		h.cancelRequest()
--- a/internal/net/pg/front_client.go
+++ b/internal/net/pg/front_client.go
@@ -10,33 +10,33 @@
 	"ashstand/internal/sqlcomment"
 )
 
-// client is one connection. A request at a time is under way; what is sent ahead of its answer waits in a queue, so answers
-// come in the order of the commands.
+// client is one client connection. It has at most one request in flight. Commands that the client sends ahead
+// of the answer wait in a queue, so that answers are sent in the order of the commands.
 type client struct {
 	front           *Front
 	number          uint32
-	lastActive      float64 // it was opened, answered or sent away
-	partialSince    float64 // since when a message is not whole; 0: none is
+	lastActive      float64 // clock milliseconds at which it was opened, or last started, answered or rejected a request
+	partialSince    float64 // clock milliseconds since which a message has been incomplete; 0 if none is
 	parser          Parser
 	queue           commandQueue
-	hasRequested    bool // it had a request
-	requestCount    int  // how many
+	hasRequested    bool // the client has sent at least one request
+	requestCount    int  // number of requests so far
 	requestInFlight bool
-	answerWritten   bool // the request in flight has its answer; the client has not taken all of it
-	awaitingFlush   bool // no command is taken before the client has read what was answered
-	hasTerminated   bool // it sent Terminate, and closes its connection
+	answerWritten   bool // the answer to the request in flight is written, but the client has not received all of it
+	awaitingFlush   bool // no further command is processed until the client has received the replies written so far
+	hasTerminated   bool // the client sent Terminate
 	invalidRequests int
 	unreadBytes     int
 	closeState
-	batching      bool // answers wait in out, to go together
+	batching      bool // replies are gathered in batch, for one write
 	batch         []byte
-	ctx           context.Context    // ends when the client goes away
-	disconnect    func()             // ends ctx, with when the client's end was read
-	cancelKey     uint64             // for cancel requests; 0: none was given out
-	cancelRequest context.CancelFunc // ends the request under way alone
+	ctx           context.Context    // canceled when the client disconnects
+	disconnect    func()             // cancels ctx, with the time of the disconnect as the cause
+	cancelKey     uint64             // key for cancel requests; 0 before the startup message
+	cancelRequest context.CancelFunc // cancels only the request in flight
 }
 
-// Traffic is called on the loop.
+// Traffic implements loop.Handler. It is called on the event loop.
 func (h *client) Traffic(c gnet.Conn) gnet.Action {
 	if h.closingWithError {
 		return h.linger(c)
@@ -44,14 +44,14 @@
 	return h.advance(c)
 }
 
-// resume goes on with what the client sent, from outside of its own Traffic.
+// resume processes the client's pending input. It is called on the event loop, outside Traffic.
 func (h *client) resume(c gnet.Conn) {
 	if !h.closingWithError && h.ctx.Err() == nil {
 		h.finishAction(c, h.advance(c))
 	}
 }
 
-// advance takes the messages that have come, and answers or starts the commands whose turn it is.
+// advance queues the messages that have arrived, and answers or starts the commands that are due.
 func (h *client) advance(c gnet.Conn) gnet.Action {
 	used, err := h.enqueue(c)
 	if err != nil {
@@ -60,7 +60,7 @@
 	if action := h.handleQueued(c); isClose(action) || h.ctx.Err() != nil || h.closingWithError {
 		return action
 	}
-	if h.hasTerminated { // a client sends that last and closes its connection, so it waits for no answer
+	if h.hasTerminated { // Terminate is a client's last message: it waits for no answer
 		return h.closing(lifecycle.ClosedTerminate)
 	}
 	h.notePartial(c, used)
@@ -74,23 +74,24 @@
 	return gnet.None
 }
 
-// isBlocked reports whether the next command has to wait.
+// isBlocked reports whether the next command has to wait for a request in flight or for a flush.
 func (h *client) isBlocked() bool { return h.requestInFlight || h.awaitingFlush }
 
-// isBusy reports whether something of the client's is under way: a request, commands that wait, a part of a message, or an
-// answer that it has not taken.
+// isBusy reports whether the client has a request in flight, queued commands, a partial message, or an answer
+// that it has not received completely.
 func (h *client) isBusy(c gnet.Conn) bool {
 	return h.isBlocked() || !h.queue.isEmpty() || c.InboundBuffered() > 0 || c.OutboundBuffered() > 0
 }
 
-// countUnread notes how much the client sent that waits here.
+// countUnread updates the number of bytes of the client's input that are queued or buffered.
 func (h *client) countUnread(c gnet.Conn) {
 	n := h.queue.bytes + c.InboundBuffered()
 	h.front.unreadBytes += n - h.unreadBytes
 	h.unreadBytes = n
 }
 
-// enqueue takes the messages that are complete out of the connection's buffer, and returns how many bytes they had.
+// enqueue moves the complete messages from the connection's buffer to the queue, and returns their size in
+// bytes.
 func (h *client) enqueue(c gnet.Conn) (used int, err error) {
 	b, err := c.Peek(c.InboundBuffered())
 	if err != nil {
@@ -104,7 +105,7 @@
 	return used, nil
 }
 
-// parse queues the commands at the start of b, and returns what is no whole message yet.
+// parse queues the commands at the start of b, and returns the incomplete message that remains.
 func (h *client) parse(b []byte) (rest []byte) {
 	for len(b) > 0 && !h.queue.ended && !h.hasTerminated {
 		command := h.parser.Next(b)
@@ -116,7 +117,7 @@
 		case Ignored:
 		case Terminate:
 			h.hasTerminated = true
-		case Malformed: // where the next message begins is not known
+		case Malformed: // the start of the next message is unknown
 			h.queue.end(command)
 		default:
 			if !h.queue.push(command, h.front.readAheadLimit()) {
@@ -127,8 +128,9 @@
 	return nil
 }
 
-// handleQueued takes commands until one starts a request or none waits. What is answered at once goes out together: with a
-// system call for each, a client that sends thousands ahead would hold the loop, and every other client with it.
+// handleQueued handles queued commands until one starts a request or the queue is empty. Immediate replies are
+// written together: with a system call for each, a client that sends thousands of commands ahead would block
+// the event loop, and with it all other clients.
 func (h *client) handleQueued(c gnet.Conn) gnet.Action {
 	action := gnet.None
 	h.batching = true
@@ -139,7 +141,7 @@
 		}
 		if action = h.handleBounded(c, &command); len(h.batch) > replyBatchBytes {
 			h.flush(c)
-			if h.ctx.Err() != nil { // it has gone, and its buffers with it
+			if h.ctx.Err() != nil { // the client has disconnected, and its buffers are released
 				return gnet.None
 			}
 			h.batching = true
@@ -153,7 +155,7 @@
 	return action
 }
 
-// awaitReader takes no further command before a client that has much to read has read it.
+// awaitReader stops processing commands while the client has more than maxUnreadBytes of replies to receive.
 func (h *client) awaitReader(c gnet.Conn) {
 	if h.isBlocked() || c.OutboundBuffered() <= maxUnreadBytes {
 		return
@@ -165,7 +167,7 @@
 	}, func() {})
 }
 
-// handleBounded handles a command, and ends a client of which too many in a row make no sense.
+// handleBounded handles a command, and disconnects a client that has sent too many invalid requests in a row.
 func (h *client) handleBounded(c gnet.Conn, command *queuedCommand) gnet.Action {
 	if command.rejected {
 		h.rejectReadAhead(c)
@@ -177,7 +179,8 @@
 	return h.boundInvalid(c)
 }
 
-// boundInvalid ends a client of which too many requests in a row make no sense, once none is under way.
+// boundInvalid disconnects a client that has sent too many invalid requests in a row, once no request is in
+// flight.
 func (h *client) boundInvalid(c gnet.Conn) gnet.Action {
 	if h.invalidRequests <= maxInvalidRequests || h.isBlocked() {
 		return gnet.None
@@ -186,7 +189,7 @@
 	return h.closeWithError(c, lifecycle.ClosedProtocol, sqlStateProtocolViolation, "too many requests that make no sense", "")
 }
 
-// rejectReadAhead answers a query whose text was dropped.
+// rejectReadAhead rejects a query because the client sent too much ahead of its answers.
 func (h *client) rejectReadAhead(c gnet.Conn) {
 	h.hasRequested = true
 	h.requestCount++
@@ -195,7 +198,8 @@
 	h.write(c, appendReady(encodeUntried(severityError, stateTooManyConnections, "too much was sent ahead of its answers", h.front.retryAfter())))
 }
 
-// rejectQueued rejects the requests that wait on a connection that is about to end. Of what is no request nothing is said.
+// rejectQueued rejects the queued requests of a connection that is about to be closed. Commands that are not
+// valid requests get no answer.
 func (h *client) rejectQueued(c gnet.Conn) {
 	for {
 		command, ok := h.queue.pop()
@@ -210,17 +214,18 @@
 	}
 }
 
-// notePartial notes since when a message is not complete; used bytes of others were taken.
+// notePartial records since when the message at the start of the input has been incomplete. used is the size of
+// the messages that were just queued.
 func (h *client) notePartial(c gnet.Conn, used int) {
 	switch {
 	case h.isBlocked() || c.InboundBuffered() == 0:
 		h.partialSince = 0
-	case h.partialSince == 0 || used > 0: // another message than the one that was not complete
+	case h.partialSince == 0 || used > 0: // a new incomplete message
 		h.partialSince = h.front.edge.Now()
 	}
 }
 
-// write writes to the client, or gathers what is answered at once.
+// write writes to the client, or appends to the current batch.
 func (h *client) write(c gnet.Conn, b []byte) {
 	if h.batching {
 		h.batch = append(h.batch, b...)
@@ -229,7 +234,7 @@
 	_, _ = c.Write(b)
 }
 
-// flush ends the gathering of what is answered at once.
+// flush ends the current batch and writes it.
 func (h *client) flush(c gnet.Conn) {
 	out := h.batch
 	h.batching, h.batch = false, nil
@@ -243,7 +248,7 @@
 	switch command.Kind {
 	case EncryptionRequest:
 		h.invalidRequests++
-		h.write(c, []byte{encryptionRefused}) // as it is, in plain text
+		h.write(c, []byte{encryptionRefused}) // sent unencrypted
 	case Startup:
 		h.cancelKey = newCancelKey(h.number)
 		h.front.cancelKeys[h.cancelKey] = h
@@ -258,7 +263,7 @@
 		h.write(c, appendReady(appendError(nil, severityError, sqlStateFeatureNotSupported, "simple queries only", "")))
 	case Query:
 		may := lifecycle.MayStart(lifecycle.StartFacts{Phase: h.front.edge.Phase(), Ready: h.front.edge.Ready(), ClientDisconnected: hasEnded(c)})
-		if may.Reason == lifecycle.ClientDisconnected { // it came with its client's end: nobody waits for it
+		if may.Reason == lifecycle.ClientDisconnected { // the disconnect arrived with the query: no client waits for the answer
 			return h.closing(lifecycle.ClosedByClient)
 		}
 		h.handleQuery(c, command.Text, may)
@@ -273,7 +278,7 @@
 	return gnet.None
 }
 
-// statementModeParameters are the parameters that a client in statement mode is told.
+// statementModeParameters are the ParameterStatus messages that a client in statement mode gets at startup.
 var statementModeParameters = [...][2]string{
 	{"server_version", "15.0 (ashstand)"},
 	{"server_encoding", "UTF8"},
@@ -282,8 +287,8 @@
 	{"standard_conforming_strings", "on"},
 }
 
-// Greeting answers a startup message; key is what a cancel request has to name. newerMinor: a later minor version than 3.0
-// was asked for.
+// Greeting encodes the answer to a startup message. key is the key that a cancel request has to contain.
+// newerMinor says that the client asked for a newer minor version than 3.0.
 func Greeting(key uint64, newerMinor bool) []byte {
 	var out []byte
 	if newerMinor {
@@ -296,7 +301,7 @@
 	return appendReady(appendBackendKeyData(out, key))
 }
 
-// handleLateCancel takes a cancel request on a connection that is served no more.
+// handleLateCancel handles a cancel request on a connection that has already got its final error.
 func (h *client) handleLateCancel(c gnet.Conn) {
 	if b, err := c.Peek(c.InboundBuffered()); err == nil {
 		if command := new(Parser).Next(b); command.Kind == Cancel {
--- a/internal/net/pg/front_close.go
+++ b/internal/net/pg/front_close.go
@@ -9,19 +9,20 @@
 	"ashstand/internal/lifecycle"
 )
 
-// Client connections are closed here and nowhere else: the linter rejects gnet.Close and EventLoop.Close in the other files of
-// this front. Each close has a reason, and a close without a word is asked for in lifecycle.MayClose.
+// Only this file closes client connections: the linter rejects gnet.Close and EventLoop.Close in the other
+// files of this front. Each close has a reason, and lifecycle.MayClose decides whether a connection may be
+// closed without an error message.
 
-// closeState is how a client's connection ends. The event loop owns it.
+// closeState is the state of closing a client's connection. It is confined to the event loop.
 type closeState struct {
-	closingWithError bool // the client was told to go: what it still sends is not read
-	sendingEnded     bool // our side of the connection is shut down
-	lingeredBytes    int  // that it sent since
+	closingWithError bool // the final error was written: further input is discarded
+	sendingEnded     bool // the sending direction of the connection is shut down
+	lingeredBytes    int  // bytes received since then
 	closeReason      lifecycle.CloseReason
 	hasCloseReason   bool
 }
 
-// mayClose decides whether the client's connection may be closed without a word now.
+// mayClose decides whether the client's connection may be closed now without an error message.
 func (h *client) mayClose(c gnet.Conn) lifecycle.Decision {
 	return lifecycle.MayClose(lifecycle.CloseFacts{
 		RequestInFlight: h.isBlocked(),
@@ -41,19 +42,19 @@
 	return true
 }
 
-// close closes the connection, from outside of its own Traffic.
+// close closes the connection. It is called outside Traffic.
 func (h *client) close(c gnet.Conn, reason lifecycle.CloseReason) {
 	h.noteClose(reason)
 	_ = c.EventLoop().Close(c)
 }
 
-// closing has the caller's visit to the event loop end with a close.
+// closing returns the action by which the calling event handler closes the connection.
 func (h *client) closing(reason lifecycle.CloseReason) gnet.Action {
 	h.noteClose(reason)
 	return gnet.Close
 }
 
-// finishAction closes the connection if an action says so, from outside of its own Traffic.
+// finishAction closes the connection if action says so. It is called outside Traffic.
 func (h *client) finishAction(c gnet.Conn, action gnet.Action) {
 	if isClose(action) {
 		_ = c.EventLoop().Close(c)
@@ -63,16 +64,17 @@
 // isClose reports whether an action closes the connection.
 func isClose(action gnet.Action) bool { return action == gnet.Close }
 
-// noteClose notes why the connection ends; the first reason counts.
+// noteClose records why the connection is closed; the first reason counts.
 func (h *client) noteClose(reason lifecycle.CloseReason) {
 	if !h.hasCloseReason {
 		h.hasCloseReason, h.closeReason = true, reason
 	}
 }
 
-// closeWithError tells a client why it has to go and ends our side. The connection stays for a moment, in which what
-// the client still sends is thrown away: closed at once, it would be reset, and a reset can eat the error. In the same moment a
-// client that has not taken its answers may still do so.
+// closeWithError writes a final error and shuts down the sending direction. The connection stays open for up to
+// maxLingerMillis, and the client's further input is discarded: closing it at once could reset it, and the
+// client's kernel may drop a received error on a reset. During this time the client can also receive answers
+// that are still unsent.
 func (h *client) closeWithError(c gnet.Conn, reason lifecycle.CloseReason, state, text, detail string) gnet.Action {
 	h.noteClose(reason)
 	h.checkAnswered(reason)
@@ -83,7 +85,8 @@
 	return h.endSending(c)
 }
 
-// endSending ends our side of a connection once the client has taken what was written to it; until then Sweep comes back to it.
+// endSending shuts down the sending direction once the client has received everything written to it. Until
+// then, Sweep calls it again.
 func (h *client) endSending(c gnet.Conn) gnet.Action {
 	if h.sendingEnded || c.OutboundBuffered() > 0 {
 		return gnet.None
@@ -95,9 +98,9 @@
 	return gnet.None
 }
 
-// linger throws away what a client that was told to go still sends, up to a bound.
+// linger discards what a client sends after the final error, up to a limit.
 func (h *client) linger(c gnet.Conn) gnet.Action {
-	if !h.parser.started { // who found no room may still cancel what is under way elsewhere
+	if !h.parser.started { // a client rejected for lack of room can still cancel a request of another connection
 		h.handleLateCancel(c)
 	}
 	h.lingeredBytes += c.InboundBuffered()
@@ -107,13 +110,13 @@
 	return gnet.None
 }
 
-// rejectConnection closes a connection that was accepted and has no handler.
+// rejectConnection closes an accepted connection that has no handler.
 func (f *Front) rejectConnection() gnet.Action {
 	f.edge.Metrics().Closed(lifecycle.ClosedTableFull)
 	return gnet.Close
 }
 
-// Closed is called on the loop.
+// Closed implements loop.Handler. It is called on the event loop.
 func (h *client) Closed(c gnet.Conn, err error) {
 	f := h.front
 	switch {
@@ -138,7 +141,8 @@
 	delete(f.clients, h)
 }
 
-// checkAnswered counts a connection that ends while a request of it has no answer. What its client has given up needs none.
+// checkAnswered counts a violation if the connection is closed while one of its requests has no answer. No
+// answer is owed if the client has disconnected or does not read its answers.
 func (h *client) checkAnswered(reason lifecycle.CloseReason) {
 	if reason.OwesAnswers() && (h.requestInFlight || !h.queue.isEmpty()) {
 		h.violation(lifecycle.ClosedWithoutAnswer)
--- a/internal/net/pg/front_request.go
+++ b/internal/net/pg/front_request.go
@@ -14,10 +14,11 @@
 	"ashstand/internal/sqlcomment"
 )
 
-// flushPollInterval is the pace at which an answer that a client has not taken is looked at.
+// flushPollInterval is the interval at which the front checks whether a client has received its answer.
 const flushPollInterval = 10 * time.Millisecond
 
-// handleQuery starts a request, or answers at once what is none, or what may not start.
+// handleQuery starts a request. Texts that are not requests, and requests that may not start, are answered
+// immediately.
 func (h *client) handleQuery(c gnet.Conn, text string, may lifecycle.Decision) {
 	f := h.front
 	h.hasRequested = true
@@ -43,7 +44,7 @@
 	go h.serve(ctx, c, statement, h.lastActive)
 }
 
-// answerLocally answers a text that needs no host.
+// answerLocally answers a text that needs no host, or rejects a request that may not start.
 func (h *client) answerLocally(text string, may lifecycle.Decision) (out []byte, answered bool) {
 	word, _, _ := strings.Cut(strings.Trim(text, " \t\r\n;"), " ")
 	word = strings.ToUpper(word)
@@ -62,8 +63,8 @@
 	return nil, false
 }
 
-// serve runs on a goroutine of its own, which ends as soon as the answer is on its way to the loop: writing it and
-// taking the next command are one visit there.
+// serve executes a request on a goroutine of its own. The goroutine ends as soon as the answer is posted to the
+// event loop, which writes the answer and takes the next command in one task.
 func (h *client) serve(ctx context.Context, c gnet.Conn, s sqlcomment.Statement, arrived float64) {
 	e := h.front.edge
 	result := e.Do(ctx, &s, arrived)
@@ -76,11 +77,11 @@
 	}
 	reply := EncodeResult(&result)
 	if h.front.answers.Post(func() { h.answer(c, &s, &result, reply, arrived) }) != nil {
-		e.End(&s) // the event loop has ended, and with it the connection
+		e.End(&s) // the event loop has stopped, and the connection is closed
 	}
 }
 
-// answer writes the final answer of a request and goes on with the next command. It runs on the loop.
+// answer writes the final answer to a request and continues with the next command. It runs on the event loop.
 func (h *client) answer(c gnet.Conn, s *sqlcomment.Statement, result *edge.Result, reply []byte, arrived float64) {
 	e, verdict := h.front.edge, result.Verdict
 	if h.ctx.Err() != nil {
@@ -99,8 +100,8 @@
 		h.finishRequest(c, verdict)
 		return
 	}
-	// The next command waits until this answer is out, so a client that does not read holds up itself alone
-	// and an answer is not cut by a close.
+	// The next command waits until this answer is sent, so that a client that does not read delays only itself,
+	// and a close does not truncate an answer.
 	h.answerWritten = true
 	h.whenFlushed(c, func() {
 		e.End(s)
@@ -108,7 +109,8 @@
 	}, func() { e.End(s) })
 }
 
-// finishRequest takes the next command, once the answer to the last one is out. It runs on the loop.
+// finishRequest continues with the next command once the answer to the last one is sent. It runs on the event
+// loop.
 func (h *client) finishRequest(c gnet.Conn, verdict edge.Verdict) {
 	if h.ctx.Err() != nil {
 		return
@@ -122,7 +124,7 @@
 	h.resume(c)
 }
 
-// runOnLoop does something on the loop and waits for it; nothing once the client has disconnected.
+// runOnLoop calls do on the event loop and waits for it. It does not call do once the client has disconnected.
 func (h *client) runOnLoop(do func()) error {
 	done := make(chan struct{})
 	err := h.front.eventLoop.Load().(gnet.EventLoop).Execute(h.ctx, gnet.RunnableFunc(func(context.Context) error {
@@ -138,8 +140,9 @@
 	return err
 }
 
-// whenFlushed calls flushed on the loop once the client has taken what was written to it. A client that does not take it in
-// its time is closed. It calls failed, on another goroutine, where the client is closed or has gone.
+// whenFlushed calls flushed on the event loop once the client has received what was written to it. A client
+// that does not do so within maxUnsentMillis is closed. If the client is closed or has disconnected,
+// whenFlushed calls failed on another goroutine.
 func (h *client) whenFlushed(c gnet.Conn, flushed, failed func()) {
 	go func() {
 		ran := false
@@ -157,7 +160,8 @@
 	}()
 }
 
-// awaitFlush waits until the client has taken its answer. false: it does not, or has disconnected.
+// awaitFlush waits until the client has received its answer. It returns false if maxUnsentMillis pass first or
+// the client disconnects.
 func (h *client) awaitFlush(c gnet.Conn) bool {
 	for t := h.front.edge.Now(); h.front.edge.Now()-t < maxUnsentMillis; {
 		left := 0
@@ -169,18 +173,18 @@
 		}
 		time.Sleep(flushPollInterval)
 	}
-	h.front.slowReaderLog.Printf("front: a client that does not take its answer is cut off")
+	h.front.slowReaderLog.Printf("front: closing the connection of a client that does not read its answer")
 	return false
 }
 
-// EncodeResult encodes a final answer, up to ReadyForQuery.
+// EncodeResult encodes the final answer to a request, including ReadyForQuery.
 func EncodeResult(r *edge.Result) []byte { return appendReady(encodeResult(r)) }
 
 func encodeResult(r *edge.Result) []byte {
 	switch r.Verdict {
 	case edge.Served:
 		b := appendRow(make([]byte, 0, len(r.Answer.Value)+160), &r.Answer)
-		if r.Answer.Position > 0 { // for sessions that carry their last commit
+		if r.Answer.Position > 0 { // for clients that pass on the log position of their last commit
 			b = appendParameterStatus(b, Platform.Position, strconv.FormatFloat(r.Answer.Position, 'f', -1, 64))
 		}
 		return b
--- a/internal/net/pg/front_shutdown.go
+++ b/internal/net/pg/front_shutdown.go
@@ -9,15 +9,17 @@
 	"ashstand/internal/lifecycle"
 )
 
-// What clients are told at the end of the process.
+// Error messages that clients get when the process exits, and the buffer size for reading their remaining
+// input.
 const (
 	textRestarting       = "the pooler restarts"
 	textRestartingMayRun = "the pooler restarts; the request may have run"
 	readAheadBufferBytes = 16 << 10
 )
 
-// Drain closes client connections between requests, now and from now on. One on which nothing was asked yet stays: its
-// client has nowhere else to send its first request, and a close would count as an answer to that.
+// Drain closes client connections that are between requests, at once and from then on. A connection without a
+// request yet stays open: its client has no other connection for its first request, and would take a close as
+// the answer to it.
 func (f *Front) Drain() {
 	f.draining.Store(true)
 	f.forEachClient(func(h *client, c gnet.Conn) {
@@ -27,7 +29,7 @@
 	})
 }
 
-// Idle reports whether no request is under way or has begun to arrive, and every answer was taken.
+// Idle reports whether no request is in flight or has begun to arrive, and clients have received all answers.
 func (f *Front) Idle() bool {
 	l, ok := f.eventLoop.Load().(gnet.EventLoop)
 	if !ok {
@@ -47,8 +49,9 @@
 	return <-idle
 }
 
-// Cut gives every request that is open its final answer, an error, and lets no other in: the process is about to end.
-// What a client sent ahead was sent on to nobody, so it is rejected: without an answer it would be lost.
+// Cut answers every open request with a final error and admits no further ones, because the process is about to
+// exit. Commands that a client sent ahead did not reach a host, so they are rejected; without an answer they
+// would be lost.
 func (f *Front) Cut() {
 	f.terminating.Store(true)
 	f.forEachClient(func(h *client, c gnet.Conn) {
@@ -58,14 +61,14 @@
 	})
 }
 
-// cut answers each request of the client's with an error, the last of them with the end of the connection. What it sent ahead
-// was sent on to nobody, so it is rejected.
+// cut answers each request of the client with an error; the error for the last one is fatal and ends the
+// connection. Commands that the client sent ahead did not reach a host, so they are rejected.
 func (h *client) cut(c gnet.Conn) gnet.Action {
 	h.parse(readRemaining(c))
 	if h.requestInFlight {
 		isOwedAnswer := !h.answerWritten
 		h.requestInFlight, h.answerWritten = false, false
-		h.disconnect() // what came of the request now is written no more
+		h.disconnect() // a later result of the request is not written
 		if isOwedAnswer && h.queue.isEmpty() {
 			return h.closeWithError(c, lifecycle.ClosedCutting, sqlStateAdminShutdown, textRestartingMayRun, "")
 		}
@@ -80,10 +83,10 @@
 		}
 		h.answerAtEnd(c, command.Kind)
 	}
-	return h.closeWithRejection(c, lifecycle.ClosedCutting, stateCannotConnectNow, textRestarting, "") // also for a request that may be on its way
+	return h.closeWithRejection(c, lifecycle.ClosedCutting, stateCannotConnectNow, textRestarting, "") // this also answers a request that may still be arriving
 }
 
-// answerAtEnd answers a command that will not be handled any more.
+// answerAtEnd answers a queued command that will not be handled because the process exits.
 func (h *client) answerAtEnd(c gnet.Conn, kind CommandKind) {
 	switch kind {
 	case Query, Function:
@@ -95,7 +98,8 @@
 	}
 }
 
-// readRemaining returns what was read and not parsed, and what only the kernel has.
+// readRemaining returns the input that was read but not parsed, followed by the bytes in the kernel's receive
+// buffer.
 func readRemaining(c gnet.Conn) []byte {
 	held, _ := c.Peek(c.InboundBuffered())
 	b := append([]byte(nil), held...)
--- a/internal/net/pg/kinds.go
+++ b/internal/net/pg/kinds.go
@@ -1,6 +1,6 @@
 package pg
 
-// Kinds of the messages of a client, by their first byte.
+// Message kinds that a client sends: the first byte of each message.
 const (
 	clientBind         byte = 'B'
 	clientClose        byte = 'C'
@@ -17,16 +17,16 @@
 	clientSync         byte = 'S'
 	clientTerminate    byte = 'X'
 
-	clientKinds = "XQPBDECSHFdcfp" // all of them
+	clientKinds = "XQPBDECSHFdcfp" // all client message kinds
 )
 
-// What a Describe or a Close names.
+// Target kinds of a Describe or a Close message.
 const (
 	targetPortal    byte = 'P'
 	targetStatement byte = 'S'
 )
 
-// Kinds of the messages of a server, by their first byte.
+// Message kinds that a server sends: the first byte of each message.
 const (
 	serverAuthentication       byte = 'R'
 	serverBackendKeyData       byte = 'K'
@@ -47,16 +47,16 @@
 	serverRowDescription       byte = 'T'
 )
 
-// encryptionRefused is the answer to a request for TLS or GSSAPI; it is no message.
+// encryptionRefused answers a request for TLS or GSSAPI. It is a single byte without a message header.
 const encryptionRefused byte = 'N'
 
-// Statuses of a ReadyForQuery.
+// Transaction statuses of a ReadyForQuery message.
 const (
-	statusIdle   byte = 'I' // outside of a transaction block
-	statusFailed byte = 'E' // in a block that has failed
+	statusIdle   byte = 'I' // outside a transaction block
+	statusFailed byte = 'E' // in a transaction block that has failed
 )
 
-// Requests of an Authentication message.
+// Request codes of an Authentication message.
 const (
 	authenticationOK           uint32 = 0
 	authenticationSASL         uint32 = 10
@@ -66,7 +66,7 @@
 
 // Sizes of messages, in bytes.
 const (
-	messageHeaderBytes = 5 // a kind and a length, which counts itself but not the kind
+	messageHeaderBytes = 5 // a kind byte and a length, which includes itself but not the kind
 	startupHeaderBytes = 8 // a length and a code
 	cancelRequestBytes = 16
 )
--- a/internal/net/pg/message.go
+++ b/internal/net/pg/message.go
@@ -7,15 +7,16 @@
 	"ashstand/internal/edge"
 )
 
-// Bounds on what a peer may send before it is cut off.
+// Limits on the size of a peer's messages. A peer that exceeds one of them is disconnected.
 const (
 	maxStartupBytes       = 10000
-	maxQueryBytes         = 192 << 10 // a statement and its header
-	maxServerMessageBytes = 66 << 10  // a message of a db host: a value of 64 KiB and what frames it
-	maxResponseBytes      = 80 << 10  // a whole answer of one
+	maxQueryBytes         = 192 << 10 // a statement with its message header
+	maxServerMessageBytes = 66 << 10  // one message of a database host: a value of 64 KiB and its framing
+	maxResponseBytes      = 80 << 10  // one complete response of a database host
 )
 
-// Codes of messages that have no kind, in place of a protocol version.
+// Codes that messages without a kind byte carry: the protocol version of a startup message, or the kind of
+// request.
 const (
 	protocolVersion3 = 3 << 16
 	codeCancel       = 80877102
@@ -23,7 +24,8 @@
 	codeGSS          = 80877104
 )
 
-// nextMessage cuts one message off b. ok is false while it is not complete; most bounds its length.
+// nextMessage splits the first message off b. ok is false while the message is incomplete. A message whose
+// length field exceeds maxBytes is an error.
 func nextMessage(b []byte, most int) (kind byte, body, tail []byte, ok bool, err error) {
 	if len(b) < 5 {
 		return 0, nil, b, false, nil
@@ -38,7 +40,7 @@
 	return b[0], b[5 : n+1], b[n+1:], true, nil
 }
 
-// appendMessage appends a message whose body is written by fill.
+// appendMessage appends a message whose body fill writes.
 func appendMessage(b []byte, kind byte, fill func(b []byte) []byte) []byte {
 	b = append(b, kind, 0, 0, 0, 0)
 	at := len(b)
@@ -47,15 +49,15 @@
 	return b
 }
 
-// appendEmpty appends a message that has no body.
+// appendEmpty appends a message without a body.
 func appendEmpty(b []byte, kind byte) []byte { return append(b, kind, 0, 0, 0, 4) }
 
 func appendCString(b []byte, s string) []byte { return append(append(b, s...), 0) }
 
-// appendReady appends a ReadyForQuery outside of a transaction block.
+// appendReady appends a ReadyForQuery with the status outside a transaction block.
 func appendReady(b []byte) []byte { return appendReadyForQuery(b, statusIdle) }
 
-// appendReadyForQuery appends a ReadyForQuery with a transaction status.
+// appendReadyForQuery appends a ReadyForQuery with the given transaction status.
 func appendReadyForQuery(b []byte, status byte) []byte {
 	return append(b, serverReadyForQuery, 0, 0, 0, 5, status)
 }
@@ -74,20 +76,21 @@
 	})
 }
 
-// appendNegotiateVersion answers a later minor version: 3.0 is what there is.
+// appendNegotiateVersion appends the answer to a client that asked for a newer minor version: only 3.0 is
+// supported.
 func appendNegotiateVersion(b []byte) []byte {
 	return appendMessage(b, serverNegotiateVersion, func(b []byte) []byte {
 		b = binary.BigEndian.AppendUint32(b, protocolVersion3)
-		return binary.BigEndian.AppendUint32(b, 0) // options that are not known
+		return binary.BigEndian.AppendUint32(b, 0) // number of protocol options that are not recognized
 	})
 }
 
-// appendBackendKeyData appends what a cancel request has to name.
+// appendBackendKeyData appends the key that a cancel request has to contain.
 func appendBackendKeyData(b []byte, key uint64) []byte {
 	return appendMessage(b, serverBackendKeyData, func(b []byte) []byte { return binary.BigEndian.AppendUint64(b, key) })
 }
 
-// appendError appends an ErrorResponse; detail goes to the field D and may be empty.
+// appendError appends an ErrorResponse. Empty fields are left out; detail is the field D.
 func appendError(b []byte, severity, sqlState, text, detail string) []byte {
 	return appendMessage(b, serverError, func(b []byte) []byte {
 		for _, field := range [...]struct {
@@ -102,15 +105,15 @@
 	})
 }
 
-// newCancelKey draws what a client has to name to cancel its query from another connection: the number of its own, and a
-// secret.
+// newCancelKey returns the key by which a client can cancel its query from another connection. The upper half
+// is the number of the client's connection, the lower half a random secret.
 func newCancelKey(number uint32) uint64 {
 	var secret [4]byte
 	_, _ = rand.Read(secret[:]) // never fails
 	return uint64(number)<<32 | uint64(binary.BigEndian.Uint32(secret[:]))
 }
 
-// startupMessage is a startup message.
+// startupMessage encodes a startup message for protocol version 3.0.
 func startupMessage(user, database string) []byte {
 	b := binary.BigEndian.AppendUint32([]byte{0, 0, 0, 0}, protocolVersion3)
 	b = appendCString(appendCString(appendCString(appendCString(b, "user"), user), "database"), database)
@@ -119,7 +122,8 @@
 	return b
 }
 
-// appendCancelRequest appends a cancel request for the connection to which a host gave this process id and secret.
+// appendCancelRequest appends a cancel request for the connection to which a host assigned this process ID and
+// secret.
 func appendCancelRequest(b []byte, pid, secret uint32) []byte {
 	b = binary.BigEndian.AppendUint32(b, cancelRequestBytes)
 	b = binary.BigEndian.AppendUint32(b, codeCancel)
@@ -127,12 +131,12 @@
 	return binary.BigEndian.AppendUint32(b, secret)
 }
 
-// appendQuery appends a simple query whose text is written by fill.
+// appendQuery appends a simple query whose text fill writes.
 func appendQuery(b []byte, fill func(b []byte) []byte) []byte {
 	return appendMessage(b, clientQuery, func(b []byte) []byte { return append(fill(b), 0) })
 }
 
-// appendRow appends a value as the one row of its column, and what the host said that it did.
+// appendRow appends a result of one column and one row, and the CommandComplete with the host's command tag.
 func appendRow(b []byte, a *edge.Answer) []byte {
 	b = appendMessage(b, serverRowDescription, func(b []byte) []byte {
 		b = appendCString(append(b, 0, 1), a.Column)
@@ -155,7 +159,7 @@
 	return appendCommandComplete(b, a.Tag)
 }
 
-// cutString cuts the first string off a body.
+// cutString splits the first null-terminated string off a message body.
 func cutString(body []byte) (s string, tail []byte, ok bool) {
 	for i, b := range body {
 		if b == 0 {
@@ -165,7 +169,8 @@
 	return "", nil, false
 }
 
-// cutTwoStrings cuts off the strings that a Parse (its name, its text) and a Bind (its portal, its statement) begin with.
+// cutTwoStrings splits off the two strings at the start of a Parse (statement name and text) or a Bind (portal
+// and statement name).
 func cutTwoStrings(body []byte) (first, second string, tail []byte, ok bool) {
 	first, tail, ok = cutString(body)
 	if ok {
@@ -174,7 +179,7 @@
 	return first, second, tail, ok
 }
 
-// cutTarget reads what a Describe or a Close is about: a statement or a portal, and its name.
+// cutTarget parses the body of a Describe or a Close: the target kind (statement or portal) and the name.
 func cutTarget(body []byte) (target byte, name string, ok bool) {
 	if len(body) == 0 || body[0] != targetStatement && body[0] != targetPortal {
 		return 0, "", false
--- a/internal/net/pg/rejection.go
+++ b/internal/net/pg/rejection.go
@@ -6,18 +6,19 @@
 	"ashstand/internal/lifecycle"
 )
 
-// rejectionState is an SQLSTATE by which a client learns that nothing ran, and that a retry is harmless. It is a type of its own
-// so that appendError does not take it: a rejection is encoded here alone, from a permit.
+// rejectionState is an SQLSTATE that tells a client that nothing ran and that a retry is harmless. It is a
+// distinct type so that appendError does not accept it: only this file encodes rejections, and it requires a
+// permit for each.
 type rejectionState string
 
-// The states.
+// SQLSTATEs of rejections.
 const (
-	stateTooManyConnections rejectionState = "53300" // there is no capacity: come again later; a host says it too
-	stateCannotConnectNow   rejectionState = "57P03" // the pooler can't serve yet, or will not any more
+	stateTooManyConnections rejectionState = "53300" // no capacity: the client may retry later; database hosts send it too
+	stateCannotConnectNow   rejectionState = "57P03" // the pooler can't serve requests yet, or no longer does
 )
 
-// appendRejection appends an ErrorResponse that rejects. Without a permit the request may have run, and the client is told that it
-// failed.
+// appendRejection appends an ErrorResponse that rejects a request. If the permit is not granted, the request
+// may have run, and the client gets a connection failure instead.
 func appendRejection(b []byte, permit lifecycle.RejectionPermit, severity string, state rejectionState, text, detail string) []byte {
 	if !permit.IsGranted() {
 		return appendError(b, severity, sqlStateConnectionFailure, text, "")
@@ -25,22 +26,25 @@
 	return appendError(b, severity, string(state), text, detail)
 }
 
-// encodeUntried encodes an ErrorResponse that rejects what no attempt was made for.
+// encodeUntried encodes an ErrorResponse that rejects a request for which no attempt was made.
 func encodeUntried(severity string, state rejectionState, text, detail string) []byte {
 	return appendRejection(nil, lifecycle.PermitUntried(), severity, state, text, detail)
 }
 
-// closeWithRejection is closeWithError for a connection of which what has no answer yet was not handed to the core.
+// closeWithRejection is closeWithError with a rejection. Requests of the connection that have no answer yet
+// must not have been passed to the edge.
 func (h *client) closeWithRejection(c gnet.Conn, reason lifecycle.CloseReason, state rejectionState, text, detail string) gnet.Action {
 	return h.closeWithError(c, reason, string(state), text, detail)
 }
 
-// rejectUntried gives an error to the message under way, of which nothing was sent to a host.
+// rejectUntried answers the current message with a rejection. Nothing of the message may have been sent to a
+// host.
 func (c *sessionClient) rejectUntried(state rejectionState, text, detail string) {
 	c.reject(string(state), text, detail)
 }
 
-// closeWithRejection is closeWithError for a session of which nothing was sent to a host.
+// closeWithRejection is closeWithError with a rejection. Nothing of the session's current request may have been
+// sent to a host.
 func (c *sessionClient) closeWithRejection(state rejectionState, text, detail string) gnet.Action {
 	return c.closeWithError(string(state), text, detail)
 }
--- a/internal/net/pg/response.go
+++ b/internal/net/pg/response.go
@@ -8,18 +8,18 @@
 	"ashstand/internal/edge"
 )
 
-// response is a db host's answer to one command, up to ReadyForQuery or a fatal error.
+// response is a database host's answer to one command, up to ReadyForQuery or a fatal error.
 type response struct {
 	answer    edge.Answer
 	rows      int
-	sqlState  string // of an ErrorResponse; "": none
+	sqlState  string // SQLSTATE of the ErrorResponse; empty if there was none
 	errorText string
-	described bool // RowDescription came
-	completed bool // CommandComplete came
+	described bool // RowDescription was received
+	completed bool // CommandComplete was received
 }
 
-// findResponseEnd returns the length of the first complete response in b, or 0 while there is none. from is where to go
-// on looking; the second result is where to go on next time.
+// findResponseEnd returns the length of the first complete response in b, or 0 while there is none. The search
+// starts at from; at is the position from which the next call can continue.
 func findResponseEnd(b []byte, from int) (end, at int, err error) {
 	at = from
 	for {
@@ -39,7 +39,7 @@
 	return severity == severityFatal || severity == severityPanic
 }
 
-// errorFields reads an ErrorResponse.
+// errorFields parses the body of an ErrorResponse.
 func errorFields(body []byte) (state, text, severity, detail string) {
 	for len(body) > 1 {
 		value, rest, ok := strings.Cut(string(body[1:]), "\x00")
@@ -65,8 +65,8 @@
 	return state, text, severity, detail
 }
 
-// parseResponse reads a complete response, strictly: what is not what a host says to a query is malformed. Values are
-// copied: b belongs to the event loop.
+// parseResponse parses a complete response strictly: any message that is not expected in the answer to a query
+// is an error. Values are copied because b belongs to the event loop.
 func parseResponse(b []byte, names Names) (r response, err error) {
 	first := true
 	for len(b) > 0 {
@@ -83,7 +83,8 @@
 	return r, nil
 }
 
-// parseMessage takes one message of the response. false: it has another form, or nothing of that kind is due there.
+// parseMessage parses one message of the response. It returns false if the message is malformed or not expected
+// at this point.
 func (r *response) parseMessage(kind byte, body []byte, names Names, first, last bool) bool {
 	switch kind {
 	case serverRowDescription:
@@ -107,7 +108,7 @@
 		return r.parseParameterStatus(body, names)
 	case serverReadyForQuery:
 		return len(body) == 1 && strings.IndexByte("ITE", body[0]) >= 0 && last
-	case serverAuthentication: // the answer to a startup message
+	case serverAuthentication: // answer to the startup message: AuthenticationOk
 		return first && string(body) == "\x00\x00\x00\x00"
 	case serverNotice, serverBackendKeyData, serverNegotiateVersion, serverEmptyQuery:
 		return true
@@ -115,7 +116,8 @@
 	return false
 }
 
-// parseParameterStatus takes a parameter. A position or a report that can't be read says nothing and spoils nothing.
+// parseParameterStatus records a reported parameter. An invalid log position or load report is ignored, without
+// an error.
 func (r *response) parseParameterStatus(body []byte, names Names) bool {
 	name, value, ok := cutParameter(body)
 	if !ok {
@@ -134,17 +136,17 @@
 	return true
 }
 
-// cutParameter reads the body of a ParameterStatus.
+// cutParameter parses the body of a ParameterStatus.
 func cutParameter(body []byte) (name, value string, ok bool) {
 	name, value, ok = strings.Cut(string(body), "\x00")
 	value, rest, end := strings.Cut(value, "\x00")
 	return name, value, ok && end && rest == ""
 }
 
-// maxPosition bounds the positions, in Unix milliseconds, that a host may report.
+// maxPosition is the exclusive upper bound of the log positions, in Unix milliseconds, that a host may report.
 const maxPosition = 1 << 52
 
-// parsePosition reads a position that a host reports; ok is false where it says nothing.
+// parsePosition parses a log position that a host reported; ok is false if the value is invalid.
 func parsePosition(value string) (position float64, ok bool) {
 	position, err := strconv.ParseFloat(value, 64)
 	return position, err == nil && position > 0 && position < maxPosition
--- a/internal/net/pg/scram.go
+++ b/internal/net/pg/scram.go
@@ -12,16 +12,17 @@
 )
 
 const (
-	scramMechanism     = "SCRAM-SHA-256" // the one mechanism that is offered
+	scramMechanism     = "SCRAM-SHA-256" // the only mechanism offered
 	minScramIterations = 4096
 	scramKeyBytes      = 32
 )
 
-// Verifier is what is stored to verify a password, from which the password does not follow.
+// Verifier holds the stored credentials for verifying a password. The password can't be derived from them.
 type Verifier struct{ stored scram.StoredCredentials }
 
-// ParseVerifier reads a verifier as PostgreSQL keeps it: SCRAM-SHA-256$iterations:salt$StoredKey:ServerKey, with the
-// binary parts in base64. An error is a *VerifierError.
+// ParseVerifier parses a verifier in PostgreSQL's storage format:
+// SCRAM-SHA-256$iterations:salt$StoredKey:ServerKey, with the binary parts in base64. A returned error is a
+// *VerifierError.
 func ParseVerifier(s string) (v Verifier, err error) {
 	kind, rest, ok := strings.Cut(s, "$")
 	factors, keys, ok2 := strings.Cut(rest, "$")
@@ -55,18 +56,18 @@
 	return key, nil
 }
 
-// saslOffer asks a client for SCRAM-SHA-256.
+// saslOffer is the AuthenticationSASL message that offers SCRAM-SHA-256.
 var saslOffer = appendMessage(nil, 'R', func(b []byte) []byte {
 	return append(binary.BigEndian.AppendUint32(b, 10), "SCRAM-SHA-256\x00\x00"...)
 })
 
-// scramExchange is a client's proof that it knows its password.
+// scramExchange is the state of a client's SCRAM authentication.
 type scramExchange struct {
 	conversation *scram.ServerConversation
 	started      bool
 }
 
-// newScramExchange begins one. A user who is not known is refused only at the end, as a wrong password is.
+// newScramExchange starts an exchange. An unknown user is rejected only at its end, like a wrong password.
 func newScramExchange(user string, v Verifier, isKnown bool) *scramExchange {
 	if !isKnown {
 		v.stored = scram.StoredCredentials{
@@ -74,7 +75,8 @@
 			StoredKey:  make([]byte, 32), ServerKey: make([]byte, 32),
 		}
 	}
-	// The name in the conversation is not used: that of the startup message counts, as with a server.
+	// The user name in the SCRAM messages is ignored in favor of the one in the startup message, as a
+	// PostgreSQL server does.
 	s, err := scram.SHA256.NewServer(func(string) (scram.StoredCredentials, error) { return v.stored, nil })
 	if err != nil {
 		return nil
@@ -82,7 +84,7 @@
 	return &scramExchange{conversation: s.NewConversation()}
 }
 
-// authenticate takes a message of a client's proof of its password.
+// authenticate processes one SASL message of a client. used is the number of bytes consumed.
 func (c *sessionClient) authenticate(b []byte) (used int, action gnet.Action) {
 	kind, body, rest, ok, err := nextMessage(b, maxStartupBytes)
 	if err == nil && !ok {
@@ -117,7 +119,7 @@
 	return len(b) - len(rest), gnet.None
 }
 
-// cutInitialResponse reads the body of a SASLInitialResponse, which names the mechanism.
+// cutInitialResponse parses the body of a SASLInitialResponse and checks the mechanism that it names.
 func cutInitialResponse(body []byte) (response []byte, ok bool) {
 	mechanism, tail, ok := cutString(body)
 	if !ok || mechanism != scramMechanism || len(tail) < 4 || int(binary.BigEndian.Uint32(tail)) != len(tail)-4 {
--- a/internal/net/pg/tenant_stats.go
+++ b/internal/net/pg/tenant_stats.go
@@ -8,26 +8,26 @@
 	"ashstand/internal/session"
 )
 
-// stickyBySessionMode is the cause that is reported of a session that is bound by its pool's mode.
+// stickyBySessionMode is the cause reported for a session that is sticky because of its pool's mode.
 const stickyBySessionMode = "session mode"
 
-// TenantStats are of one database that has sessions here.
+// TenantStats are the statistics of one database that has sessions at this pooler.
 type TenantStats struct {
 	Database    string        `json:"database"`
-	Group       *uint64       `json:"home,omitempty"` // nil: each pool's own group, or none that is agreed on
+	Group       *uint64       `json:"home,omitempty"` // nil if each pool's own group applies, or if no group is agreed on
 	Fenced      bool          `json:"fenced,omitempty"`
 	State       string        `json:"state"` // open, paused or fenced
 	PausedSince float64       `json:"paused_since,omitempty"`
 	Sessions    int           `json:"sessions"`
-	Running     int           `json:"running"` // transactions
+	Running     int           `json:"running"` // running transactions
 	Queued      int           `json:"held"`
-	InFlight    int           `json:"going"` // let go, and not at a host yet
+	InFlight    int           `json:"going"` // released transactions that have not reached a host yet
 	Released    uint64        `json:"let_go"`
 	Rejected    uint64        `json:"refused"`
 	Sticky      []StickyStats `json:"bound,omitempty"`
 }
 
-// StickyStats are the sessions of a pool that are bound to connections of one host.
+// StickyStats counts the sessions of a pool that are sticky to connections of one host for the same cause.
 type StickyStats struct {
 	Pool     string `json:"pool"`
 	Host     string `json:"host"`
@@ -35,7 +35,7 @@
 	Sessions int    `json:"sessions"`
 }
 
-// Describe sets the fields that say where the database is.
+// Describe sets the group and the state from the database's assignment.
 func (s *TenantStats) Describe(of session.Assignment) {
 	if s.State = "open"; of.Paused {
 		s.State, s.PausedSince = "paused", of.PausedSince
@@ -47,7 +47,8 @@
 	}
 }
 
-// TenantStats are the databases that have sessions here.
+// TenantStats returns the statistics of all databases that have sessions at this pooler. It returns nil if
+// there are no assignments, or if the event loop does not respond within a second.
 func (f *SessionFront) TenantStats() []TenantStats {
 	if f.tenancy.assignments == nil || f.eventLoop.Load() == nil {
 		return nil
@@ -62,7 +63,7 @@
 	}
 }
 
-// collectTenantStats is TenantStats on the event loop.
+// collectTenantStats implements TenantStats on the event loop.
 func (f *SessionFront) collectTenantStats() (all []TenantStats) {
 	now := f.clock.Now()
 	for _, t := range f.tenancy.tenants.All() {
@@ -95,7 +96,7 @@
 	return all
 }
 
-// addLinked counts a client that is linked to a server connection.
+// addLinked adds a client that is linked to a server connection to the statistics.
 func (s *TenantStats) addLinked(c *sessionClient) {
 	if c.routing.call != nil || !c.pipeline.Idle() {
 		s.Running++
--- a/internal/net/pg/tenants.go
+++ b/internal/net/pg/tenants.go
@@ -12,46 +12,51 @@
 	"ashstand/internal/session"
 )
 
-// Assignments says where databases are, by the rules that count at a moment. It is asked on the event loop, where a transaction
-// begins and again just before it is sent, so it must neither wait nor allocate.
+// Assignments looks up the group to which a database is assigned, by the rules in force at a given time. It is
+// called on the event loop when a transaction begins and again just before it is sent, so it must neither block
+// nor allocate.
 type Assignments interface {
 	Assignment(database string, now float64) session.Assignment
 }
 
-// What a host says where its guard rejects a write before it does anything, since the tenant is closed there.
+// The error of a host whose guard rejects a write before executing it, because the tenant is closed on this
+// host.
 const (
 	sqlStateTenantClosed = "55000"
 	tenantClosedMessage  = "tenant is closed"
 )
 
-// maxResumedPerTurn is how many queued transactions go on, or are rejected, in one turn of the loop: others are served
-// between.
+// maxResumedPerTurn is how many queued transactions are resumed or rejected in one task of the event loop, so
+// that other clients are served in between.
 const maxResumedPerTurn = 256
 
-// tenantQueues is what the front knows of the databases that its sessions use. The event loop owns it.
+// tenantQueues holds the queued transactions of the databases that the front's sessions use. It is confined to
+// the event loop.
 type tenantQueues struct {
-	assignments      Assignments // nil: there are none, and each pool's own group counts
+	assignments      Assignments // nil if there are none: each pool's own group applies
 	tenants          *session.Tenants
 	releaseScheduled map[*session.Tenant]bool
-	recordedBytes    int // of first statements
+	recordedBytes    int // size of the first statements that are recorded for replay
 	expiryTimer      *time.Timer
-	nextExpiry       float64 // clock milliseconds at which it goes off; 0: it does not
+	nextExpiry       float64 // clock milliseconds at which expiryTimer fires; 0 if it is not set
 }
 
-// SetAssignments says whom to ask; it is called before the first client comes. Without it no transaction asks.
+// SetAssignments sets the source of assignments. It must be called before the first client connects. Without
+// it, each pool's own group applies.
 func (f *SessionFront) SetAssignments(h Assignments) {
 	f.tenancy.assignments, f.tenancy.tenants, f.tenancy.releaseScheduled = h, session.NewTenants(), map[*session.Tenant]bool{}
 }
 
-// ReassignTenants says that assignments changed: transactions of which nothing was sent are routed anew, queued ones may be
-// released, and sessions that are bound to connections of a group that their database has left are closed.
+// ReassignTenants applies changed assignments: transactions of which nothing was sent are routed again, queued
+// transactions may be released, and sticky sessions on connections to a group that their database has left are
+// closed.
 func (f *SessionFront) ReassignTenants() {
 	if f.tenancy.assignments != nil {
 		f.onLoop(f.reassignTenants)
 	}
 }
 
-// reassignTenants is ReassignTenants on the event loop.
+// reassignTenants implements ReassignTenants on the event loop.
 func (f *SessionFront) reassignTenants() {
 	var stale []*sessionClient
 	for c := range f.clients.all {
@@ -78,13 +83,14 @@
 	}
 }
 
-// retainsIdleServer reports whether the client keeps its server connection between transactions, and is between two.
+// retainsIdleServer reports whether the client keeps its server connection between transactions and no
+// transaction is running.
 func (c *sessionClient) retainsIdleServer() bool {
 	return c.phase == phaseLinked && c.server != nil && c.retention.counted && c.routing.call == nil &&
 		!c.retention.transactionBegun && c.pipeline.Idle() && c.wire.BufferedBytes() == 0
 }
 
-// releaseQueued releases the queued transactions of a tenant that may go on.
+// releaseQueued resumes the queued transactions of a tenant that may proceed.
 func (f *SessionFront) releaseQueued(t *session.Tenant) {
 	for range maxResumedPerTurn {
 		x := f.tenancy.tenants.Next(t, f.tenancy.assignments.Assignment(t.Database, f.clock.Now()))
@@ -96,7 +102,8 @@
 	f.scheduleRelease(t)
 }
 
-// scheduleRelease is resumeQueued in the loop's next turn: whoever calls it may be in the middle of something.
+// scheduleRelease calls releaseQueued in a later task of the event loop, because the caller may be in the
+// middle of a state change.
 func (f *SessionFront) scheduleRelease(t *session.Tenant) {
 	if f.tenancy.releaseScheduled[t] {
 		return
@@ -108,7 +115,8 @@
 	})
 }
 
-// scheduleExpiry sees to it that those whose time is over are refused then: a sweep would come too late for their clients.
+// scheduleExpiry sets the timer that rejects queued transactions at their deadline. A periodic sweep would be
+// too late for their clients.
 func (f *SessionFront) scheduleExpiry() {
 	at, ok := f.tenancy.tenants.NextDeadline()
 	if !ok || f.tenancy.nextExpiry > 0 && f.tenancy.nextExpiry <= at {
@@ -138,19 +146,20 @@
 	f.scheduleExpiry()
 }
 
-// queueBounds bound the transactions that may be queued for a pool.
+// queueBounds returns the limits on the transactions that may be queued for a pool.
 func (f *SessionFront) queueBounds(p *PoolSettings) session.TenantQueueLimits {
 	l := f.limits.Load()
 	return session.TenantQueueLimits{PerTenant: p.MaxPausedTransactions, Total: l.MaxPausedTransactions, BytesPerTenant: l.Bytes / 4, TotalBytes: l.Bytes / 2, MaxPauseMillis: p.MaxPauseMillis}
 }
 
-// isAssignmentCurrent reports whether the assignment by which the transaction was routed still holds.
+// isAssignmentCurrent reports whether the assignment by which the transaction was routed is still in force.
 func (c *sessionClient) isAssignmentCurrent() bool {
 	f := c.front
 	return f.tenancy.assignments == nil || f.tenancy.assignments.Assignment(c.identity.database, f.clock.Now()).Equal(c.tenancy.assignment)
 }
 
-// isAssignmentMoved reports whether the database is assigned to another group than that of the connection which the session keeps.
+// isAssignmentMoved reports whether the database is now assigned to another group than that of the connection
+// which the session keeps.
 func (c *sessionClient) isAssignmentMoved() bool {
 	f := c.front
 	if f.tenancy.assignments == nil {
@@ -164,8 +173,9 @@
 	return err != nil || group != c.routing.request.Group
 }
 
-// abandonMovedHost parts a session from the connection that it keeps, between transactions, since the database has moved. What binds
-// it to the connection can't go with it, and one that waits for a notification would never learn that it waits in vain.
+// abandonMovedHost releases the connection that a session keeps between transactions, because the database has
+// moved to another group. A sticky session is closed instead: its state on the connection can't be moved, and a
+// session that waits for a notification would otherwise wait forever without an error.
 func (c *sessionClient) abandonMovedHost(s *serverConn) gnet.Action {
 	if cause := c.pipeline.StickyCause(); cause != "" {
 		return c.closeWithError(sqlStateAdminShutdown, "the database has moved to another home, and the session's "+string(cause)+" can't go with it; connect again", "")
@@ -174,9 +184,10 @@
 	return gnet.None
 }
 
-// checkRetainedServer takes the first message of a transaction that is to begin on the connection which the session keeps. done: it
-// was answered; waits: the tenant is paused; messageLinked: it goes on, there or, where the session was parted from the
-// connection, elsewhere.
+// checkRetainedServer handles the first message of a transaction that would begin on the connection which the
+// session keeps. It returns messageAnswered if the message was answered, and messageWaiting if the transaction
+// is queued because the tenant is paused. It returns messageLinked if the transaction proceeds, on this
+// connection or, if the session had to release it, on another one.
 func (c *sessionClient) checkRetainedServer(kind byte) (disposition, gnet.Action) {
 	f := c.front
 	if c.isAssignmentMoved() {
@@ -208,10 +219,10 @@
 	return messageLinked, gnet.None
 }
 
-// waitingBytes is how many bytes of the client's wait here.
+// waitingBytes returns the size of the client's buffered input and of its statements recorded for replay.
 func (c *sessionClient) waitingBytes() int { return c.wire.BufferedBytes() + len(c.record.replay) }
 
-// resumeQueued goes on with a transaction that was queued, by the assignment that holds now.
+// resumeQueued resumes a queued transaction by the assignment now in force.
 func (c *sessionClient) resumeQueued() {
 	if c.server != nil {
 		c.phase = phaseLinked
@@ -225,14 +236,14 @@
 	}
 }
 
-// finishRelease says that the transaction is at its host, or over.
+// finishRelease records that a released transaction has reached its host or has ended.
 func (c *sessionClient) finishRelease() {
 	if f := c.front; f.tenancy.assignments != nil && f.tenancy.tenants.Complete(c.tenancy.tenant, &c.tenancy.entry) {
 		f.scheduleRelease(c.tenancy.tenant)
 	}
 }
 
-// dequeue takes the transaction out of its tenant's queue.
+// dequeue removes the transaction from its tenant's queue.
 func (c *sessionClient) dequeue() {
 	if f := c.front; f.tenancy.assignments != nil && c.tenancy.tenant != nil {
 		c.finishRelease()
@@ -240,8 +251,8 @@
 	}
 }
 
-// routeByAssignment looks up where the tenant is and goes on from there: a host is chosen, or the transaction is queued or
-// rejected.
+// routeByAssignment looks up the tenant's group and, depending on its state, picks a host in it, or queues or
+// rejects the transaction.
 func (c *sessionClient) routeByAssignment() {
 	f := c.front
 	if f.tenancy.assignments != nil {
@@ -280,7 +291,8 @@
 	c.pickHost()
 }
 
-// rerouteUnsent chooses again for a transaction of which nothing was sent, since its tenant is assigned elsewhere by now.
+// rerouteUnsent routes a transaction again of which nothing was sent, because its tenant is now assigned to
+// another group.
 func (c *sessionClient) rerouteUnsent() {
 	c.routing.waiter.Dequeue()
 	call := c.routing.call
