--- a/internal/net/pg/command.go
+++ b/internal/net/pg/command.go
@@ -115,7 +115,7 @@
 // hasTerminate reports whether the scanned bytes contain a Terminate message. A client sends Terminate as its
 // last message and closes its connection, so it no longer waits for an answer. n is the number of buffered
 // bytes, which peek returns.
-func (l *readAhead) hasTerminate(n int, peek func(int) ([]byte, error), most int) bool {
+func (l *readAhead) hasTerminate(n int, peek func(int) ([]byte, error), maxBytes int) bool {
 	if n < max(l.needed, l.scanned+5) {
 		return false
 	}
@@ -124,7 +124,7 @@
 		return false
 	}
 	for len(b)-l.scanned >= 5 {
-		kind, _, rest, ok, err := nextMessage(b[l.scanned:], most)
+		kind, _, rest, ok, err := nextMessage(b[l.scanned:], maxBytes)
 		switch {
 		case err != nil: // the error is reported when the message is processed
 			return false
--- a/internal/net/pg/command_queue_test.go
+++ b/internal/net/pg/command_queue_test.go
@@ -8,14 +8,14 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever is pushed comes out in order and whole, but for the text of rejected queries; the bytes that count are within the
-// limit, and none are left over.
+// Checks that commands are popped in the order in which they were pushed and unchanged, except that rejected
+// queries lose their text, and that the counted bytes stay within the limit and return to zero.
 func TestCommandQueueKeepsOrderWithinItsBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const limit = 1000
 		var q commandQueue
 		var want []string
-		check := func() {
+		requireConsistent := func() {
 			sum := 0
 			for _, r := range q.runs {
 				sum += r.bytes
@@ -24,7 +24,7 @@
 			require.Equal(t, sum, q.bytes)
 			require.LessOrEqual(t, q.bytes, limit)
 		}
-		take := func() {
+		popAndCompare := func() {
 			c, ok := q.pop()
 			require.Equal(t, len(want) > 0, ok)
 			if !ok {
@@ -55,20 +55,21 @@
 				require.Equal(t, before-q.bytes, freed)
 				require.True(t, freed >= n || q.bytes == 0)
 			default:
-				take()
+				popAndCompare()
 			}
-			check()
+			requireConsistent()
 		}
 		for len(want) > 0 {
-			take()
-			check()
+			popAndCompare()
+			requireConsistent()
 		}
 		require.True(t, q.isEmpty())
 		require.Zero(t, q.bytes)
 	})
 }
 
-// Commands of different kinds in turn can't be held as runs; past the bound there is no room, and the queue says so.
+// Commands of alternating kinds can't be merged into runs. Checks that push returns false once the queue holds
+// maxQueuedRuns.
 func TestCommandQueueBoundsItsRuns(t *testing.T) {
 	var q commandQueue
 	for i := range maxQueuedRuns {
--- a/internal/net/pg/flood_test.go
+++ b/internal/net/pg/flood_test.go
@@ -22,19 +22,19 @@
 	"ashstand/internal/sqlcomment"
 )
 
-// visits counts what one visit of a client's handler to the loop writes.
-type visits struct {
+// countingConn counts the writes of a client's handler.
+type countingConn struct {
 	gnet.Conn
 	writes, bytes int
 }
 
-func (v *visits) Write(b []byte) (int, error) {
+func (v *countingConn) Write(b []byte) (int, error) {
 	v.writes++
 	v.bytes += len(b)
 	return v.Conn.Write(b)
 }
 
-// onLoop runs something on the loop for the one client that there is.
+// onLoop calls do on the event loop for the only client, and waits for it.
 func (d *door) onLoop(t *testing.T, do func(h *client, c gnet.Conn)) {
 	done := make(chan struct{})
 	d.forEachClient(func(h *client, c gnet.Conn) {
@@ -44,19 +44,19 @@
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second):
-		t.Fatal("the loop does not come round")
+		t.Fatal("the event loop did not run the function within 20 s")
 	}
 }
 
-// What a client sends ahead is answered in a few writes, however many commands it holds: one for each would keep the
-// loop from everybody else. The commands lie in the client's ring buffer while the loop is held; then one visit takes
-// them all.
+// Commands that a client sends ahead must be answered in a few writes, however many they are: one system call
+// for each would block the event loop for all other clients. The commands wait in the client's ring buffer
+// until a single call of Traffic handles them all.
 func TestCommandsSentAheadAreAnsweredTogether(t *testing.T) {
 	d := listen(t, FrontLimits{Clients: 16, Bytes: 1 << 20, RetryAfterMillis: 300})
 	c := d.call(t, "")
 	require.Equal(t, []string{"empty"}, errorsOf(t, c, 1))
 	const n = 8000
-	d.onLoop(t, func(h *client, _ gnet.Conn) { h.requestInFlight = true }) // as if a request were under way
+	d.onLoop(t, func(h *client, _ gnet.Conn) { h.requestInFlight = true }) // simulates a request in flight
 	var b []byte
 	for range n {
 		b = appendMessage(b, 'S', func(b []byte) []byte { return b })
@@ -64,14 +64,14 @@
 	_, err := c.Write(b)
 	require.NoError(t, err)
 	require.Eventually(t, func() bool { return d.count(func(h *client) bool { return h.unreadBytes == len(b) }) == 1 }, 20*time.Second, time.Millisecond)
-	var v visits
+	var counter countingConn
 	d.onLoop(t, func(h *client, c gnet.Conn) {
-		v.Conn = c
+		counter.Conn = c
 		h.requestInFlight = false
-		_ = h.Traffic(&v)
+		_ = h.Traffic(&counter)
 	})
-	require.Equal(t, 6*n, v.bytes, "a ReadyForQuery for each")
-	require.LessOrEqual(t, v.writes, 6*n/replyBatchBytes+1, "system calls of one visit to the loop")
+	require.Equal(t, 6*n, counter.bytes, "a ReadyForQuery for each")
+	require.LessOrEqual(t, counter.writes, 6*n/replyBatchBytes+1, "system calls of one Traffic call")
 	got := make([]byte, 6*n)
 	_, err = io.ReadFull(c, got)
 	require.NoError(t, err)
@@ -80,26 +80,27 @@
 	}
 }
 
-// A client that floods holds up itself alone: what another waits for its answers beside a flood.
-func TestAFloodDelaysNobodyElse(t *testing.T) {
+// A client that floods the front must delay only itself: measures another client's response times without and
+// during a flood.
+func TestFloodingClientDelaysOnlyItself(t *testing.T) {
 	d := listen(t, FrontLimits{Clients: 16, Bytes: 1 << 20, RetryAfterMillis: 300})
 	quiet := d.call(t, "")
 	require.Equal(t, []string{"empty"}, errorsOf(t, quiet, 1))
-	ask := appendQuery(nil, func(b []byte) []byte { return b })
+	query := appendQuery(nil, func(b []byte) []byte { return b })
 	answer := make([]byte, 11)
-	measure := func() (took []time.Duration) {
+	measureLatencies := func() (latencies []time.Duration) {
 		for range 100 {
 			at := time.Now()
-			_, err := quiet.Write(ask)
+			_, err := quiet.Write(query)
 			require.NoError(t, err)
 			_, err = io.ReadFull(quiet, answer)
 			require.NoError(t, err)
-			took = append(took, time.Since(at))
+			latencies = append(latencies, time.Since(at))
 		}
-		slices.Sort(took)
-		return took
+		slices.Sort(latencies)
+		return latencies
 	}
-	alone := measure()
+	alone := measureLatencies()
 	flood := d.call(t, "")
 	require.Equal(t, []string{"empty"}, errorsOf(t, flood, 1))
 	var b []byte
@@ -117,18 +118,18 @@
 			}
 		}
 	})
-	flooded := measure()
+	flooded := measureLatencies()
 	flood.Close()
 	all.Wait()
 	t.Logf("an answer takes %v in the median and %v at the most alone, %v and %v beside %d MB sent at full speed",
 		alone[50], alone[99], flooded[50], flooded[99], sent>>20)
-	require.Greater(t, sent, 1<<20, "no flood")
+	require.Greater(t, sent, 1<<20, "the flood did not send enough")
 	require.Less(t, flooded[50], 50*time.Millisecond)
 }
 
-// Clients that send as much as they may and go leave nothing behind: no bytes that are counted, no connection, no
-// goroutine, and no request that waits for nobody.
-func TestClientsThatSendMuchAndGo(t *testing.T) {
+// Clients that send as much as they may and disconnect must leave nothing behind: no counted bytes, no
+// connection, no goroutine, and no open request.
+func TestDisconnectAfterFloodReleasesEverything(t *testing.T) {
 	d := listen(t, FrontLimits{Clients: 200, Bytes: 1 << 20, RetryAfterMillis: 300})
 	first := d.call(t, "")
 	require.Equal(t, []string{"empty"}, errorsOf(t, first, 1))
@@ -136,7 +137,7 @@
 	request := appendQuery(nil, func(b []byte) []byte {
 		return append(b, "/* id=0,c=report,d=60000,cluster=1 */ SELECT payload"...)
 	})
-	for _, half := range []int{0, len(request) / 2} { // the last one is whole, or is not
+	for _, half := range []int{0, len(request) / 2} { // without and with an incomplete message at the end
 		var all sync.WaitGroup
 		for i := range 40 {
 			all.Go(func() {
@@ -162,37 +163,37 @@
 	select {
 	case <-d.edge.Drain():
 	case <-time.After(20 * time.Second):
-		t.Fatal("a request of a client that has gone is still open")
+		t.Fatal("a request of a disconnected client is still open")
 	}
 	require.Equal(t, []string{"empty"}, errorsOf(t, d.call(t, ""), 1))
 }
 
-// What a host says that can't be right, or never ends: nothing of it is taken, it teaches nothing though its first half
-// told of a role and a position, what it held of the memory is free again, and the next request is served.
-func TestAnswersThatNeverEndTeachNothing(t *testing.T) {
-	told := appendParameterStatus(appendParameterStatus(nil, Platform.Role, Platform.Primary), Platform.Position, "999999999000")
-	described := appendRow(nil, &edge.Answer{Column: "payload", Type: 17, Binary: true, Value: []byte{1}, Tag: "SELECT 1"})
-	described = described[:len(described)-len(appendCommandComplete(nil, "SELECT 1"))]
-	column := described[:len(described)-len(appendMessage(nil, 'D', func(b []byte) []byte { return append(b, 0, 1, 0, 0, 0, 1, 1) }))]
-	lies := func(n uint32) []byte { // a value said to be so long, in a message that is whole
+// An answer of a host that is invalid or never ends must be discarded as a whole: the role and the log position
+// that its first half reports have no effect, its memory is released, and the next request is served.
+func TestEndlessAnswersAreDiscarded(t *testing.T) {
+	reported := appendParameterStatus(appendParameterStatus(nil, Platform.Role, Platform.Primary), Platform.Position, "999999999000")
+	result := appendRow(nil, &edge.Answer{Column: "payload", Type: 17, Binary: true, Value: []byte{1}, Tag: "SELECT 1"})
+	result = result[:len(result)-len(appendCommandComplete(nil, "SELECT 1"))]
+	column := result[:len(result)-len(appendMessage(nil, 'D', func(b []byte) []byte { return append(b, 0, 1, 0, 0, 0, 1, 1) }))]
+	oversizedValue := func(n uint32) []byte { // a value with a wrong length field, in a complete message
 		return appendMessage(append([]byte(nil), column...), 'D', func(b []byte) []byte {
 			return append(binary.BigEndian.AppendUint32(append(b, 0, 1), n), 1)
 		})
 	}
 	join := func(bs ...[]byte) []byte { return slices.Concat(bs...) }
-	for _, k := range []struct {
-		name  string
-		first []byte
-		goes  []byte // said again and again until the connection ends; nil: the connection stays silent
-		code  dispatch.Code
+	for _, test := range []struct {
+		name     string
+		first    []byte
+		repeated []byte // sent repeatedly until the connection ends; nil sends nothing more
+		code     dispatch.Code
 	}{
-		{"a message said to be 3 GB", join(told, column, []byte{'D', 0xb2, 0xd0, 0x5e, 0}), nil, dispatch.Malformed},
-		{"a value said to be 3 GB", join(told, lies(3<<30)), appendReady(nil), dispatch.Malformed},
-		{"parameters without end", told, appendParameterStatus(nil, "part", "master"), dispatch.Malformed},
-		{"notices without end", told, appendMessage(nil, 'N', func(b []byte) []byte { return append(b, make([]byte, 1000)...) }), dispatch.Malformed},
-		{"rows without end", join(told, described), described[len(column):], dispatch.Malformed},
-		{"two answers' halves", join(told, described, told, column), appendReady(nil), dispatch.Malformed},
-		{"half an answer", join(told, described), nil, dispatch.NoAnswer},
+		{"a message said to be 3 GB", join(reported, column, []byte{'D', 0xb2, 0xd0, 0x5e, 0}), nil, dispatch.Malformed},
+		{"a value said to be 3 GB", join(reported, oversizedValue(3<<30)), appendReady(nil), dispatch.Malformed},
+		{"parameters without end", reported, appendParameterStatus(nil, "part", "master"), dispatch.Malformed},
+		{"notices without end", reported, appendMessage(nil, 'N', func(b []byte) []byte { return append(b, make([]byte, 1000)...) }), dispatch.Malformed},
+		{"rows without end", join(reported, result), result[len(column):], dispatch.Malformed},
+		{"two answers' halves", join(reported, result, reported, column), appendReady(nil), dispatch.Malformed},
+		{"half an answer", join(reported, result), nil, dispatch.NoAnswer},
 	} {
 		ended := make(chan struct{}, 16)
 		r := start(t, func(c net.Conn, b *pgproto3.Backend) {
@@ -205,40 +206,40 @@
 					_, _ = c.Write(whole())
 					continue
 				}
-				_, err = c.Write(k.first)
-				for err == nil && k.goes != nil {
-					_, err = c.Write(k.goes)
+				_, err = c.Write(test.first)
+				for err == nil && test.repeated != nil {
+					_, err = c.Write(test.repeated)
 				}
 			}
 			ended <- struct{}{}
 		})
 		reply := r.exchange(t, open)
-		require.Equal(t, edge.Reply{Outcome: dispatch.Outcome{Code: k.code}, Detail: reply.Detail, WrittenAt: 1e12}, reply, k.name)
+		require.Equal(t, edge.Reply{Outcome: dispatch.Outcome{Code: test.code}, Detail: reply.Detail, WrittenAt: 1e12}, reply, test.name)
 		select {
 		case <-ended:
 		case <-time.After(20 * time.Second):
-			t.Fatal(k.name + ": the connection stays")
+			t.Fatal(test.name + ": the connection was not closed")
 		}
 		r.settled(t, 0)
-		require.Equal(t, dispatch.OK, r.send(t, "/* id=2,c=a,d=900,cluster=1 */ SELECT payload FROM entries WHERE ref = 'after'", open).Code, k.name)
+		require.Equal(t, dispatch.OK, r.send(t, "/* id=2,c=a,d=900,cluster=1 */ SELECT payload FROM entries WHERE ref = 'after'", open).Code, test.name)
 	}
 }
 
-// An answer that turns out spoilt while it is being given up: whichever comes first, it is one of the two, once, and the
-// connection ends.
-func TestASpoiltAnswerCrossesAGiveUp(t *testing.T) {
-	for _, spoiltFirst := range []bool{true, false} {
-		speak, spoken := make(chan struct{}), make(chan struct{})
+// A malformed answer arrives while its attempt is being canceled. Whichever comes first, the attempt must end
+// exactly once, as malformed or as canceled, and the connection must be closed.
+func TestMalformedAnswerCrossesCancellation(t *testing.T) {
+	for _, malformedFirst := range []bool{true, false} {
+		sendMalformed, malformedSent := make(chan struct{}), make(chan struct{})
 		r := start(t, func(c net.Conn, b *pgproto3.Backend) {
 			welcome(b)
 			_, _ = b.Receive()
 			_, _ = c.Write(appendParameterStatus(nil, Platform.Position, "999999999000"))
-			<-speak
+			<-sendMalformed
 			_, _ = c.Write([]byte("noise that is no message"))
-			close(spoken)
+			close(malformedSent)
 			_, _ = b.Receive()
 		})
-		ctx, giveUp := context.WithCancel(context.Background())
+		ctx, cancel := context.WithCancel(context.Background())
 		c, err := r.Acquire(ctx, "h")
 		require.NoError(t, err)
 		s, err := sqlcomment.Parse("/* id=1,c=a,d=900,cluster=1 */ SELECT payload")
@@ -246,27 +247,27 @@
 		replies := make(chan edge.Reply, 2)
 		go func() { replies <- c.Exchange(ctx, &s, open) }()
 		want := dispatch.Malformed
-		if spoiltFirst {
-			close(speak)
-			<-spoken
+		if malformedFirst {
+			close(sendMalformed)
+			<-malformedSent
 			require.Equal(t, want, (<-replies).Code)
-			giveUp()
+			cancel()
 		} else {
 			want = dispatch.Cancelled
-			require.Eventually(t, func() bool { return r.held(t) > 0 }, 20*time.Second, time.Millisecond) // half of it is here
-			giveUp()
+			require.Eventually(t, func() bool { return r.held(t) > 0 }, 20*time.Second, time.Millisecond) // half of the answer has arrived
+			cancel()
 			reply := <-replies
 			require.Equal(t, edge.Reply{Outcome: dispatch.Outcome{Code: want}, Detail: reply.Detail, WrittenAt: 1e12}, reply)
-			close(speak)
-			<-spoken
+			close(sendMalformed)
+			<-malformedSent
 		}
 		r.settled(t, 0)
 		require.Empty(t, replies)
 	}
 }
 
-// A host that reports parameters without end does not fill the memory of the session front.
-func TestAHostReportsParametersWithoutEnd(t *testing.T) {
+// Guards against a host that exhausts the memory of the session front by reporting ever more parameters.
+func TestReportedParametersAreLimited(t *testing.T) {
 	f := NewSessionFront(nil, nil, clock.NewManual(1e12), Platform, SessionLimits{})
 	s := &serverConn{front: f, parameters: &parameterSet{values: map[string]string{}}}
 	for i := range maxReportedParameters {
--- a/internal/net/pg/front.go
+++ b/internal/net/pg/front.go
@@ -103,11 +103,11 @@
 	}
 	f.lastNumber++
 	h := &client{front: f, number: f.lastNumber, lastActive: f.edge.Now()}
-	served := f.limits.Load().Clients * 7 / 8
-	for len(f.clients) >= served && f.evictLeastUseful(h.lastActive) {
+	maxServed := f.limits.Load().Clients * 7 / 8
+	for len(f.clients) >= maxServed && f.evictLeastUseful(h.lastActive) {
 	}
-	room := len(f.clients) < served
-	if !room && len(f.clients) >= f.limits.Load().Clients {
+	hasRoom := len(f.clients) < maxServed
+	if !hasRoom && len(f.clients) >= f.limits.Load().Clients {
 		f.clientLimitLog.Printf("front: %d client connections are open, closing a new one", len(f.clients))
 		return nil, nil, f.rejectConnection()
 	}
@@ -118,7 +118,7 @@
 	if f.terminating.Load() {
 		return h, nil, h.closeWithRejection(c, lifecycle.ClosedCutting, stateCannotConnectNow, textRestarting, "")
 	}
-	if room {
+	if hasRoom {
 		return h, nil, gnet.None
 	}
 	f.clientLimitLog.Printf("front: %d client connections are open and in use, rejecting a new one", len(f.clients))
@@ -198,12 +198,12 @@
 // drains. It must be called every SweepInterval.
 func (f *Front) Sweep() {
 	now := f.edge.Now()
-	many := f.limits.Load().Clients / pressureFraction
+	pressureThreshold := f.limits.Load().Clients / pressureFraction
 	f.forEachClient(func(h *client, c gnet.Conn) {
 		idle := now - h.lastActive
 		switch {
 		case f.draining.Load() && h.hasRequested && !h.closingWithError && h.closeIfIdle(c, lifecycle.ClosedDraining):
-		case h.hasRequested && len(f.clients) > many && !h.isBusy(c) &&
+		case h.hasRequested && len(f.clients) > pressureThreshold && !h.isBusy(c) &&
 			(idle >= maxIdleUnderPressureMillis || h.requestCount == 1 && idle >= maxIdleUsedOnceMillis):
 			h.closeIfIdle(c, lifecycle.ClosedIdle)
 		case h.closingWithError:
@@ -221,32 +221,32 @@
 	})
 }
 
-// boundUnread keeps the unprocessed input of all clients within its limit. It rejects the newest queries of the
-// client that holds the most. If that client has no queued query to drop, its bytes are in an incomplete
+// enforceUnreadLimit keeps the unprocessed input of all clients within its limit. It rejects the newest queries
+// of the client that holds the most. If that client has no queued query to drop, its bytes are in an incomplete
 // message: it is disconnected after the answers that it is still owed. current is the client whose input is
 // being processed, and action applies to it.
-func (f *Front) boundUnread(speaker *client) (action gnet.Action) {
+func (f *Front) enforceUnreadLimit(current *client) (action gnet.Action) {
 	for limit := f.limits.Load().Bytes; f.unreadBytes > limit; {
-		most := speaker
+		largest := current
 		for h := range f.clients {
-			if h.unreadBytes > most.unreadBytes {
-				most = h
+			if h.unreadBytes > largest.unreadBytes {
+				largest = h
 			}
 		}
-		if most.unreadBytes == 0 {
+		if largest.unreadBytes == 0 {
 			f.edge.Metrics().Violation(lifecycle.BoundExceeded, "bytes", f.unreadBytes, "limit", limit)
 			return action
 		}
-		c := f.clients[most]
-		f.unreadLimitLog.Printf("front: a client has %d unread bytes, all clients together %d: rejecting its newest requests", most.unreadBytes, f.unreadBytes)
-		if most.queue.rejectNewest(f.unreadBytes-limit) > 0 {
-			most.countUnread(c)
+		c := f.clients[largest]
+		f.unreadLimitLog.Printf("front: a client has %d unread bytes, all clients together %d: rejecting its newest requests", largest.unreadBytes, f.unreadBytes)
+		if largest.queue.rejectNewest(f.unreadBytes-limit) > 0 {
+			largest.countUnread(c)
 			continue
 		}
-		if ended := most.endOverloaded(c); most == speaker {
+		if ended := largest.endOverloaded(c); largest == current {
 			action = ended
 		} else {
-			most.finishAction(c, ended)
+			largest.finishAction(c, ended)
 		}
 	}
 	return action
--- a/internal/net/pg/front_client.go
+++ b/internal/net/pg/front_client.go
@@ -55,21 +55,21 @@
 func (h *client) advance(c gnet.Conn) gnet.Action {
 	used, err := h.enqueue(c)
 	if err != nil {
-		return h.closing(lifecycle.ClosedEngineFailure)
+		return h.closeAction(lifecycle.ClosedEngineFailure)
 	}
 	if action := h.handleQueued(c); isClose(action) || h.ctx.Err() != nil || h.closingWithError {
 		return action
 	}
 	if h.hasTerminated { // Terminate is a client's last message: it waits for no answer
-		return h.closing(lifecycle.ClosedTerminate)
+		return h.closeAction(lifecycle.ClosedTerminate)
 	}
-	h.notePartial(c, used)
+	h.trackPartialMessage(c, used)
 	h.countUnread(c)
-	if action := h.front.boundUnread(h); isClose(action) || h.closingWithError {
+	if action := h.front.enforceUnreadLimit(h); isClose(action) || h.closingWithError {
 		return action
 	}
 	if h.front.draining.Load() && h.hasRequested && h.mayClose(c).OK() {
-		return h.closing(lifecycle.ClosedDraining)
+		return h.closeAction(lifecycle.ClosedDraining)
 	}
 	return gnet.None
 }
@@ -139,24 +139,25 @@
 		if !ok {
 			break
 		}
-		if action = h.handleBounded(c, &command); len(h.batch) > replyBatchBytes {
+		if action = h.handleCommand(c, &command); len(h.batch) > replyBatchBytes {
 			h.flush(c)
 			if h.ctx.Err() != nil { // the client has disconnected, and its buffers are released
 				return gnet.None
 			}
 			h.batching = true
-			h.awaitReader(c)
+			h.awaitSlowReader(c)
 		}
 	}
 	h.flush(c)
 	if h.ctx.Err() == nil && action == gnet.None && !h.closingWithError {
-		h.awaitReader(c)
+		h.awaitSlowReader(c)
 	}
 	return action
 }
 
-// awaitReader stops processing commands while the client has more than maxUnreadBytes of replies to receive.
-func (h *client) awaitReader(c gnet.Conn) {
+// awaitSlowReader stops processing commands while the client has more than maxUnreadBytes of replies to
+// receive.
+func (h *client) awaitSlowReader(c gnet.Conn) {
 	if h.isBlocked() || c.OutboundBuffered() <= maxUnreadBytes {
 		return
 	}
@@ -167,8 +168,8 @@
 	}, func() {})
 }
 
-// handleBounded handles a command, and disconnects a client that has sent too many invalid requests in a row.
-func (h *client) handleBounded(c gnet.Conn, command *queuedCommand) gnet.Action {
+// handleCommand handles a command, and disconnects a client that has sent too many invalid requests in a row.
+func (h *client) handleCommand(c gnet.Conn, command *queuedCommand) gnet.Action {
 	if command.rejected {
 		h.rejectReadAhead(c)
 		return gnet.None
@@ -176,12 +177,12 @@
 	if action := h.handle(c, &command.Command); action != gnet.None || h.closingWithError {
 		return action
 	}
-	return h.boundInvalid(c)
+	return h.enforceInvalidLimit(c)
 }
 
-// boundInvalid disconnects a client that has sent too many invalid requests in a row, once no request is in
-// flight.
-func (h *client) boundInvalid(c gnet.Conn) gnet.Action {
+// enforceInvalidLimit disconnects a client that has sent too many invalid requests in a row, once no request is
+// in flight.
+func (h *client) enforceInvalidLimit(c gnet.Conn) gnet.Action {
 	if h.invalidRequests <= maxInvalidRequests || h.isBlocked() {
 		return gnet.None
 	}
@@ -214,9 +215,9 @@
 	}
 }
 
-// notePartial records since when the message at the start of the input has been incomplete. used is the size of
-// the messages that were just queued.
-func (h *client) notePartial(c gnet.Conn, used int) {
+// trackPartialMessage records since when the message at the start of the input has been incomplete. used is the
+// size of the messages that were just queued.
+func (h *client) trackPartialMessage(c gnet.Conn, used int) {
 	switch {
 	case h.isBlocked() || c.InboundBuffered() == 0:
 		h.partialSince = 0
@@ -262,14 +263,14 @@
 		h.invalidRequests++
 		h.write(c, appendReady(appendError(nil, severityError, sqlStateFeatureNotSupported, "simple queries only", "")))
 	case Query:
-		may := lifecycle.MayStart(lifecycle.StartFacts{Phase: h.front.edge.Phase(), Ready: h.front.edge.Ready(), ClientDisconnected: hasEnded(c)})
-		if may.Reason == lifecycle.ClientDisconnected { // the disconnect arrived with the query: no client waits for the answer
-			return h.closing(lifecycle.ClosedByClient)
+		decision := lifecycle.MayStart(lifecycle.StartFacts{Phase: h.front.edge.Phase(), Ready: h.front.edge.Ready(), ClientDisconnected: hasEnded(c)})
+		if decision.Reason == lifecycle.ClientDisconnected { // the disconnect arrived with the query: no client waits for the answer
+			return h.closeAction(lifecycle.ClosedByClient)
 		}
-		h.handleQuery(c, command.Text, may)
+		h.handleQuery(c, command.Text, decision)
 	case Cancel:
 		h.front.cancel(command.Key)
-		return h.closing(lifecycle.ClosedCancelRequest)
+		return h.closeAction(lifecycle.ClosedCancelRequest)
 	case Malformed:
 		return h.closeWithError(c, lifecycle.ClosedProtocol, sqlStateProtocolViolation, command.Text, "")
 	case Overloaded:
--- a/internal/net/pg/front_close.go
+++ b/internal/net/pg/front_close.go
@@ -44,13 +44,13 @@
 
 // close closes the connection. It is called outside Traffic.
 func (h *client) close(c gnet.Conn, reason lifecycle.CloseReason) {
-	h.noteClose(reason)
+	h.recordClose(reason)
 	_ = c.EventLoop().Close(c)
 }
 
-// closing returns the action by which the calling event handler closes the connection.
-func (h *client) closing(reason lifecycle.CloseReason) gnet.Action {
-	h.noteClose(reason)
+// closeAction returns the action by which the calling event handler closes the connection.
+func (h *client) closeAction(reason lifecycle.CloseReason) gnet.Action {
+	h.recordClose(reason)
 	return gnet.Close
 }
 
@@ -64,8 +64,8 @@
 // isClose reports whether an action closes the connection.
 func isClose(action gnet.Action) bool { return action == gnet.Close }
 
-// noteClose records why the connection is closed; the first reason counts.
-func (h *client) noteClose(reason lifecycle.CloseReason) {
+// recordClose records why the connection is closed; the first reason counts.
+func (h *client) recordClose(reason lifecycle.CloseReason) {
 	if !h.hasCloseReason {
 		h.hasCloseReason, h.closeReason = true, reason
 	}
@@ -76,7 +76,7 @@
 // client's kernel may drop a received error on a reset. During this time the client can also receive answers
 // that are still unsent.
 func (h *client) closeWithError(c gnet.Conn, reason lifecycle.CloseReason, state, text, detail string) gnet.Action {
-	h.noteClose(reason)
+	h.recordClose(reason)
 	h.checkAnswered(reason)
 	h.write(c, appendError(nil, severityFatal, state, text, detail))
 	h.flush(c)
@@ -121,9 +121,9 @@
 	f := h.front
 	switch {
 	case err != nil:
-		h.noteClose(lifecycle.ClosedByClient)
+		h.recordClose(lifecycle.ClosedByClient)
 	default:
-		h.noteClose(lifecycle.ClosedEngineFailure)
+		h.recordClose(lifecycle.ClosedEngineFailure)
 	}
 	if !h.closingWithError {
 		h.checkAnswered(h.closeReason)
--- a/internal/net/pg/front_request.go
+++ b/internal/net/pg/front_request.go
@@ -19,12 +19,12 @@
 
 // handleQuery starts a request. Texts that are not requests, and requests that may not start, are answered
 // immediately.
-func (h *client) handleQuery(c gnet.Conn, text string, may lifecycle.Decision) {
+func (h *client) handleQuery(c gnet.Conn, text string, decision lifecycle.Decision) {
 	f := h.front
 	h.hasRequested = true
 	h.requestCount++
 	h.lastActive = f.edge.Now()
-	if out, answered := h.answerLocally(text, may); answered {
+	if out, answered := h.answerLocally(text, decision); answered {
 		h.write(c, appendReady(out))
 		return
 	}
@@ -45,14 +45,14 @@
 }
 
 // answerLocally answers a text that needs no host, or rejects a request that may not start.
-func (h *client) answerLocally(text string, may lifecycle.Decision) (out []byte, answered bool) {
+func (h *client) answerLocally(text string, decision lifecycle.Decision) (out []byte, answered bool) {
 	word, _, _ := strings.Cut(strings.Trim(text, " \t\r\n;"), " ")
 	word = strings.ToUpper(word)
 	switch {
-	case may.Reason == lifecycle.NotReady:
+	case decision.Reason == lifecycle.NotReady:
 		h.front.edge.RecordRejection(metrics.RejectNotReady, "connection", h.number)
 		return encodeUntried(severityError, stateCannotConnectNow, "no list of hosts is held yet", ""), true
-	case !may.OK():
+	case !decision.OK():
 		h.front.edge.RecordRejection(metrics.RejectCutting, "connection", h.number)
 		return encodeUntried(severityError, stateCannotConnectNow, textRestarting, ""), true
 	case word == "":
@@ -65,9 +65,9 @@
 
 // serve executes a request on a goroutine of its own. The goroutine ends as soon as the answer is posted to the
 // event loop, which writes the answer and takes the next command in one task.
-func (h *client) serve(ctx context.Context, c gnet.Conn, s sqlcomment.Statement, arrived float64) {
+func (h *client) serve(ctx context.Context, c gnet.Conn, s sqlcomment.Statement, arrivedAt float64) {
 	e := h.front.edge
-	result := e.Do(ctx, &s, arrived)
+	result := e.Do(ctx, &s, arrivedAt)
 	if result.Verdict == edge.Disconnected {
 		if h.ctx.Err() != nil {
 			e.End(&s)
@@ -76,13 +76,13 @@
 		result = edge.Result{Verdict: edge.TimedOut, Detail: "canceling statement due to user request"}
 	}
 	reply := EncodeResult(&result)
-	if h.front.answers.Post(func() { h.answer(c, &s, &result, reply, arrived) }) != nil {
+	if h.front.answers.Post(func() { h.answer(c, &s, &result, reply, arrivedAt) }) != nil {
 		e.End(&s) // the event loop has stopped, and the connection is closed
 	}
 }
 
 // answer writes the final answer to a request and continues with the next command. It runs on the event loop.
-func (h *client) answer(c gnet.Conn, s *sqlcomment.Statement, result *edge.Result, reply []byte, arrived float64) {
+func (h *client) answer(c gnet.Conn, s *sqlcomment.Statement, result *edge.Result, reply []byte, arrivedAt float64) {
 	e, verdict := h.front.edge, result.Verdict
 	if h.ctx.Err() != nil {
 		e.End(s)
@@ -91,7 +91,7 @@
 	if !h.requestInFlight {
 		e.Metrics().Violation(lifecycle.AnsweredTwice, "connection", h.number, "request", s.ID)
 	}
-	if e.Now() > arrived+s.TimeoutMillis+lifecycle.LateGraceMillis {
+	if e.Now() > arrivedAt+s.TimeoutMillis+lifecycle.LateGraceMillis {
 		e.Metrics().Violation(lifecycle.AnswerLate, "connection", h.number, "request", s.ID)
 	}
 	h.write(c, reply)
@@ -120,7 +120,7 @@
 	if h.invalidRequests++; verdict != edge.Invalid {
 		h.invalidRequests = 0
 	}
-	h.finishAction(c, h.boundInvalid(c))
+	h.finishAction(c, h.enforceInvalidLimit(c))
 	h.resume(c)
 }
 
@@ -163,12 +163,12 @@
 // awaitFlush waits until the client has received its answer. It returns false if maxUnsentMillis pass first or
 // the client disconnects.
 func (h *client) awaitFlush(c gnet.Conn) bool {
-	for t := h.front.edge.Now(); h.front.edge.Now()-t < maxUnsentMillis; {
-		left := 0
-		if h.ctx.Err() != nil || h.runOnLoop(func() { left = c.OutboundBuffered() }) != nil {
+	for startedAt := h.front.edge.Now(); h.front.edge.Now()-startedAt < maxUnsentMillis; {
+		remaining := 0
+		if h.ctx.Err() != nil || h.runOnLoop(func() { remaining = c.OutboundBuffered() }) != nil {
 			return false
 		}
-		if left == 0 {
+		if remaining == 0 {
 			return true
 		}
 		time.Sleep(flushPollInterval)
--- a/internal/net/pg/front_shutdown.go
+++ b/internal/net/pg/front_shutdown.go
@@ -37,11 +37,11 @@
 	}
 	idle := make(chan bool, 1)
 	if l.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
-		all := true
+		allIdle := true
 		for h, c := range f.clients {
-			all = all && (h.closingWithError && c.OutboundBuffered() == 0 || h.mayClose(c).OK())
+			allIdle = allIdle && (h.closingWithError && c.OutboundBuffered() == 0 || h.mayClose(c).OK())
 		}
-		idle <- all
+		idle <- allIdle
 		return nil
 	})) != nil {
 		return true
@@ -81,13 +81,13 @@
 		if !ok || command.Kind == Query && h.queue.isEmpty() {
 			break // the error that ends the connection is the last query's answer
 		}
-		h.answerAtEnd(c, command.Kind)
+		h.answerAtShutdown(c, command.Kind)
 	}
 	return h.closeWithRejection(c, lifecycle.ClosedCutting, stateCannotConnectNow, textRestarting, "") // this also answers a request that may still be arriving
 }
 
-// answerAtEnd answers a queued command that will not be handled because the process exits.
-func (h *client) answerAtEnd(c gnet.Conn, kind CommandKind) {
+// answerAtShutdown answers a queued command that will not be handled because the process exits.
+func (h *client) answerAtShutdown(c gnet.Conn, kind CommandKind) {
 	switch kind {
 	case Query, Function:
 		h.write(c, appendReady(encodeUntried(severityError, stateCannotConnectNow, textRestarting, "")))
@@ -101,14 +101,14 @@
 // readRemaining returns the input that was read but not parsed, followed by the bytes in the kernel's receive
 // buffer.
 func readRemaining(c gnet.Conn) []byte {
-	held, _ := c.Peek(c.InboundBuffered())
-	b := append([]byte(nil), held...)
-	for more := make([]byte, readAheadBufferBytes); len(b) <= maxUnreadBytes; {
-		n, err := syscall.Read(c.Fd(), more)
+	buffered, _ := c.Peek(c.InboundBuffered())
+	b := append([]byte(nil), buffered...)
+	for chunk := make([]byte, readAheadBufferBytes); len(b) <= maxUnreadBytes; {
+		n, err := syscall.Read(c.Fd(), chunk)
 		if err != nil || n <= 0 {
 			break
 		}
-		b = append(b, more[:n]...)
+		b = append(b, chunk[:n]...)
 	}
 	return b
 }
--- a/internal/net/pg/front_test.go
+++ b/internal/net/pg/front_test.go
@@ -25,7 +25,7 @@
 	"ashstand/routing"
 )
 
-// nowhere is a backend that reaches no host.
+// nowhere is a backend that can't connect to any host.
 type nowhere struct{ edge.Backend }
 
 func (nowhere) Acquire(ctx context.Context, _ string) (edge.Conn, error) {
@@ -43,17 +43,17 @@
 func listen(t *testing.T, limits FrontLimits) *door {
 	class := routing.Class{Name: "report", LatencyObjective: time.Minute, Deadline: time.Minute, PriorityWeight: 1, LateFraction: 1}
 	d := &door{clock: clock.NewManual(1e12)}
-	f, err := dispatch.New(&settings.Parsed{
+	dispatcher, err := dispatch.New(&settings.Parsed{
 		Settings: routing.Settings{RouterCount: 1, MaxAttempts: 8, Classes: []routing.Class{class}},
 		Classes:  map[string]int{"report": 0},
 	}, 1, d.clock, nil, nil)
 	require.NoError(t, err)
-	f.UpdateEndpoints(true, []dispatch.Endpoint{{Host: "h", Group: 1}})
-	d.facade = f
-	core := edge.New(f, d.clock, nowhere{})
+	dispatcher.UpdateEndpoints(true, []dispatch.Endpoint{{Host: "h", Group: 1}})
+	d.facade = dispatcher
+	core := edge.New(dispatcher, d.clock, nowhere{})
 	core.SetLimits(edge.Limits{StatementBytes: limits.Bytes, RetryAfterMillis: limits.RetryAfterMillis})
 	d.Front = NewFront(core, limits)
-	l, err := net.Listen("tcp", "127.0.0.1:0") // a port that was free a moment ago
+	l, err := net.Listen("tcp", "127.0.0.1:0") // reserves a free port, which the loop then listens on
 	require.NoError(t, err)
 	d.address = l.Addr().String()
 	l.Close()
@@ -63,8 +63,8 @@
 	return d
 }
 
-// count counts clients on the loop.
-func (d *door) count(which func(*client) bool) int {
+// count returns the number of clients that match, evaluated on the event loop.
+func (d *door) count(match func(*client) bool) int {
 	n := make(chan int, 1)
 	if d.eventLoop.Load() == nil {
 		return 0
@@ -72,7 +72,7 @@
 	_ = d.eventLoop.Load().(gnet.EventLoop).Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
 		sum := 0
 		for h := range d.clients {
-			if which(h) {
+			if match(h) {
 				sum++
 			}
 		}
@@ -82,7 +82,8 @@
 	return <-n
 }
 
-// call opens a connection, starts it and sends queries, all at once; nothing else if there are none.
+// call opens a connection and sends the startup message and the queries in one write. Without queries it sends
+// nothing.
 func (d *door) call(t *testing.T, queries ...string) net.Conn {
 	c, err := net.Dial("tcp", d.address)
 	require.NoError(t, err)
@@ -100,7 +101,8 @@
 	return c
 }
 
-// errorsOf reads errors up to n of them, or up to the end of the connection if n is 0.
+// errorsOf reads n replies, or all up to the end of the connection if n is 0. It returns each ErrorResponse,
+// and "empty" for each EmptyQueryResponse.
 func errorsOf(t *testing.T, c net.Conn, n int) (got []string) {
 	f := pgproto3.NewFrontend(c, io.Discard)
 	for n == 0 || len(got) < n {
@@ -119,8 +121,9 @@
 	return got
 }
 
-// Guards against a table that clients fill which asked once and stayed, or which never say a word.
-func TestConnectionsInNoUseMakeRoom(t *testing.T) {
+// Guards against a connection table that is full of clients which sent one request and stayed, or never sent
+// anything.
+func TestIdleConnectionsMakeRoom(t *testing.T) {
 	d := listen(t, FrontLimits{Clients: 16, Bytes: 1 << 20, RetryAfterMillis: 300})
 	var stayed []net.Conn
 	for i := range 14 {
@@ -129,11 +132,11 @@
 		d.clock.Advance(1)
 		stayed = append(stayed, c)
 	}
-	require.Equal(t, []string{"FATAL 53300 300"}, errorsOf(t, d.call(t, ""), 0), "none may be closed yet: told, and when to come back")
+	require.Equal(t, []string{"FATAL 53300 300"}, errorsOf(t, d.call(t, ""), 0), "no connection may be closed yet: rejected with a Retry-After")
 	d.clock.Advance(minIdleMillis)
 	require.Equal(t, []string{"empty"}, errorsOf(t, d.call(t, ""), 1))
 	_, err := io.ReadAll(stayed[0])
-	require.NoError(t, err, "the one idle for longest has gone")
+	require.NoError(t, err, "the connection that was idle the longest is closed")
 	silent := listen(t, FrontLimits{Clients: 16, Bytes: 1 << 20})
 	for range 14 {
 		silent.call(t)
@@ -143,16 +146,17 @@
 	require.Equal(t, []string{"empty"}, errorsOf(t, silent.call(t, ""), 1))
 }
 
-// Guards against clients that keep us waiting: an error and a close are due 3 s after they connected.
-func TestWhoKeepsUsWaitingIsSentAway(t *testing.T) {
+// Guards against clients that never complete a message: an error and a close are due within 3 s after they
+// connected.
+func TestSilentClientsAreDisconnected(t *testing.T) {
 	d := listen(t, FrontLimits{Clients: 32, Bytes: 1 << 20})
 	good := d.call(t, "")
 	errorsOf(t, good, 1)
-	silent, half, dumb := d.call(t), d.call(t, ""), d.call(t, "")
-	errorsOf(t, dumb, 1)
-	errorsOf(t, half, 1)
-	_, _ = half.Write([]byte{'Q', 0, 0, 1, 0, 'S'})
-	_, _ = half.Write(nil)
+	silent, partial, idle := d.call(t), d.call(t, ""), d.call(t, "")
+	errorsOf(t, idle, 1)
+	errorsOf(t, partial, 1)
+	_, _ = partial.Write([]byte{'Q', 0, 0, 1, 0, 'S'})
+	_, _ = partial.Write(nil)
 	require.Eventually(t, func() bool {
 		return d.count(func(h *client) bool { return h.partialSince > 0 }) == 1 && d.count(func(*client) bool { return true }) == 4
 	}, 10*time.Second, time.Millisecond)
@@ -160,15 +164,15 @@
 	d.clock.Advance(maxSilentMillis + 1)
 	d.Sweep()
 	require.Equal(t, []string{"FATAL 08P01 "}, errorsOf(t, silent, 0))
-	require.Equal(t, []string{"FATAL 08P01 "}, errorsOf(t, half, 0))
+	require.Equal(t, []string{"FATAL 08P01 "}, errorsOf(t, partial, 0))
 	_, err := good.Write(appendQuery(nil, func(b []byte) []byte { return b }))
 	require.NoError(t, err)
-	require.Equal(t, []string{"empty"}, errorsOf(t, good, 1), "who asked and is idle keeps its connection while there is room")
+	require.Equal(t, []string{"empty"}, errorsOf(t, good, 1), "an idle client that has sent a request keeps its connection while there is room")
 }
 
-// Guards against clients that open a connection for each request and keep it: they run out of what they may hold long
-// before the table is full, and then none comes whose accept would make room.
-func TestConnectionsUsedOnceGoWhileManyAreOpen(t *testing.T) {
+// Guards against clients that open a connection for each request and keep it. Such clients reach their own
+// limit long before the table is full, and then no new connection arrives whose accept would evict an old one.
+func TestConnectionsUsedOnceAreClosedUnderPressure(t *testing.T) {
 	d := listen(t, FrontLimits{Clients: 20, Bytes: 1 << 20})
 	used := d.call(t, "", "")
 	errorsOf(t, used, 2)
@@ -177,20 +181,21 @@
 	}
 	d.clock.Advance(maxIdleUsedOnceMillis)
 	d.Sweep()
-	require.Equal(t, 4, d.count(func(*client) bool { return true }), "down to a fifth of the places")
+	require.Equal(t, 4, d.count(func(*client) bool { return true }), "down to a fifth of the table")
 	_, err := used.Write(appendQuery(nil, func(b []byte) []byte { return b }))
 	require.NoError(t, err)
-	require.Equal(t, []string{"empty"}, errorsOf(t, used, 1), "who used it again keeps it")
+	require.Equal(t, []string{"empty"}, errorsOf(t, used, 1), "a connection that was used twice stays open")
 	d.clock.Advance(10 * maxIdleUnderPressureMillis)
 	d.Sweep()
-	require.Equal(t, 4, d.count(func(*client) bool { return true }), "few are open, so they stay")
+	require.Equal(t, 4, d.count(func(*client) bool { return true }), "few connections are open, so they stay")
 }
 
-// Guards against a reset that eats the error written just before it, and against rubbish without end.
-func TestRubbishGetsItsErrorAndAnEnd(t *testing.T) {
+// Guards against a reset that makes the client lose the error written just before it, and against endless
+// invalid requests.
+func TestInvalidInputGetsErrorAndClose(t *testing.T) {
 	d := listen(t, FrontLimits{Clients: 16, Bytes: 1 << 20})
 	huge := d.call(t, "")
-	_, err := huge.Write(append([]byte{'Q', 3, 0x93, 0x87, 0}, make([]byte, 100<<10)...)) // 60 MB are announced
+	_, err := huge.Write(append([]byte{'Q', 3, 0x93, 0x87, 0}, make([]byte, 100<<10)...)) // the header announces 60 MB
 	require.NoError(t, err)
 	require.Equal(t, []string{"empty", "FATAL 08P01 "}, errorsOf(t, huge, 0), "read to its end, without a reset")
 	again := make([]string, 3*maxInvalidRequests)
@@ -202,7 +207,8 @@
 	require.Equal(t, "FATAL 08P01 ", got[len(got)-1])
 }
 
-// Guards against clients that together hold more than the process has; who holds most goes.
+// Guards against clients whose input together exceeds the memory limit: the client that holds the most is
+// disconnected.
 func TestMemoryOfAllClientsIsBounded(t *testing.T) {
 	d := listen(t, FrontLimits{Clients: 16, Bytes: 100 << 10, RetryAfterMillis: 300})
 	long := func(id byte) string {
@@ -211,13 +217,13 @@
 	d.call(t, long('a'))
 	require.Eventually(t, func() bool { return d.count(func(h *client) bool { return h.requestInFlight }) == 1 }, 10*time.Second, time.Millisecond)
 	require.Equal(t, []string{"ERROR 53300 300"}, errorsOf(t, d.call(t, long('b')), 1))
-	hog, small := d.call(t, ""), d.call(t, "")
-	errorsOf(t, hog, 1)
+	large, small := d.call(t, ""), d.call(t, "")
+	errorsOf(t, large, 1)
 	errorsOf(t, small, 1)
-	part := func(n int) []byte { return append([]byte{'Q', 0, 2, 0, 0}, make([]byte, n)...) }
-	_, _ = hog.Write(part(90 << 10))
+	partialQuery := func(n int) []byte { return append([]byte{'Q', 0, 2, 0, 0}, make([]byte, n)...) }
+	_, _ = large.Write(partialQuery(90 << 10))
 	_, _ = small.Write(append([]byte{'Q', 0, 1, 0, 0}, make([]byte, 30<<10)...))
-	_, err := io.ReadAll(hog)
+	_, err := io.ReadAll(large)
 	require.True(t, err == nil || !errors.Is(err, context.DeadlineExceeded) && !isTimeout(err), "%v", err)
 	_, _ = small.Write(make([]byte, 64<<10-4-30<<10))
 	require.Equal(t, []string{"ERROR 08P01 "}, errorsOf(t, small, 1)[:1])
@@ -228,64 +234,64 @@
 	return errors.As(err, &e) && e.Timeout()
 }
 
-// Guards against requests that are lost at the end of the process: one is under way, two were sent ahead of its answer and
-// half of one more, another client has sent half a request, a third has asked nothing yet.
-func TestAtTheEndEachRequestGetsAnAnswer(t *testing.T) {
+// Guards against requests that are lost when the process exits. One client has a request in flight and has sent
+// two and a half more ahead of its answer, another has sent half a request, and a third has sent none yet.
+func TestShutdownAnswersEachRequest(t *testing.T) {
 	d := listen(t, FrontLimits{Clients: 16, Bytes: 1 << 20})
 	text := func(id string) string { return "/* id=" + id + ",c=report,d=20000,cluster=1 */ SELECT 'k'" }
-	asked, fresh, half, busy := d.call(t, ""), d.call(t), d.call(t, ""), d.call(t, text("a"), text("b"), text("c"))
+	served, fresh, partial, busy := d.call(t, ""), d.call(t), d.call(t, ""), d.call(t, text("a"), text("b"), text("c"))
 	_, err := fresh.Write(startupMessage("web", "orders"))
 	require.NoError(t, err)
-	errorsOf(t, asked, 1)
-	errorsOf(t, half, 1)
-	part := []byte{'Q', 0, 0, 1, 0, 'S'}
-	for _, c := range []net.Conn{half, busy} {
-		_, err := c.Write(part)
+	errorsOf(t, served, 1)
+	errorsOf(t, partial, 1)
+	partialQuery := []byte{'Q', 0, 0, 1, 0, 'S'}
+	for _, c := range []net.Conn{partial, busy} {
+		_, err := c.Write(partialQuery)
 		require.NoError(t, err)
 	}
 	require.Eventually(t, func() bool {
 		return d.count(func(h *client) bool {
-			return h.parser.started && (h.partialSince > 0 || h.requestInFlight && h.unreadBytes > len(part) || !h.hasRequested)
+			return h.parser.started && (h.partialSince > 0 || h.requestInFlight && h.unreadBytes > len(partialQuery) || !h.hasRequested)
 		}) == 3
 	}, 10*time.Second, time.Millisecond)
 	d.Drain()
-	_, err = io.ReadAll(asked)
+	_, err = io.ReadAll(served)
 	require.NoError(t, err, "closed between requests")
-	require.False(t, d.Idle(), "half a request is one that comes")
+	require.False(t, d.Idle(), "half a request counts as one that is arriving")
 	_, err = fresh.Write(appendQuery(nil, func(b []byte) []byte { return b }))
 	require.NoError(t, err)
 	require.Equal(t, []string{"empty"}, errorsOf(t, fresh, 0), "its first request is answered, then it is closed")
 	d.Cut()
-	require.Equal(t, []string{"FATAL 57P03 "}, errorsOf(t, half, 0))
+	require.Equal(t, []string{"FATAL 57P03 "}, errorsOf(t, partial, 0))
 	require.Equal(t, []string{"ERROR 57P01 ", "ERROR 57P03 ", "FATAL 57P03 "}, errorsOf(t, busy, 0))
 	require.True(t, d.Idle())
 }
 
-// violations returns the rules that the front broke.
+// violations returns the number of violations of each rule.
 func (d *door) violations(t *testing.T) map[string]int {
-	figures, err := d.edge.Metrics().Snapshot()
+	samples, err := d.edge.Metrics().Snapshot()
 	require.NoError(t, err)
-	return metrics.Violations(figures)
+	return metrics.Violations(samples)
 }
 
-// figure returns a counter of the front by its name and reason.
-func (d *door) figure(t *testing.T, name, reason string) float64 {
-	figures, err := d.edge.Metrics().Snapshot()
+// counterValue returns the value of a counter with this name and label reason.
+func (d *door) counterValue(t *testing.T, name, reason string) float64 {
+	samples, err := d.edge.Metrics().Snapshot()
 	require.NoError(t, err)
-	for _, f := range figures {
+	for _, f := range samples {
 		if f.Name == name && f.Labels["reason"] == reason {
 			return f.Value
 		}
 	}
-	require.FailNow(t, "no such figure", "%s %s", name, reason)
+	require.FailNow(t, "no such counter", "%s %s", name, reason)
 	return 0
 }
 
-// Each rule on a client's connection, broken on purpose, is counted under its name and no other.
+// Violates each rule on client connections and checks that it is counted under its name and no other.
 func TestBrokenRulesOfConnectionsAreCounted(t *testing.T) {
-	for _, k := range []struct {
-		rule   lifecycle.Rule
-		breaks func(d *door, h *client, c gnet.Conn)
+	for _, test := range []struct {
+		rule    lifecycle.Rule
+		violate func(d *door, h *client, c gnet.Conn)
 	}{
 		{lifecycle.ClosedWithoutAnswer, func(_ *door, h *client, c gnet.Conn) {
 			h.requestInFlight = true
@@ -299,44 +305,45 @@
 			d.answerNow(h, c, lifecycle.LateGraceMillis+1)
 		}},
 		{lifecycle.BoundExceeded, func(d *door, h *client, _ gnet.Conn) {
-			d.unreadBytes += 2 << 20 // that no client has
-			d.boundUnread(h)
+			d.unreadBytes += 2 << 20 // bytes that belong to no client
+			d.enforceUnreadLimit(h)
 		}},
 	} {
-		t.Run(k.rule.String(), func(t *testing.T) {
+		t.Run(test.rule.String(), func(t *testing.T) {
 			d := listen(t, FrontLimits{Clients: 16, Bytes: 1 << 20})
 			require.Equal(t, []string{"empty"}, errorsOf(t, d.call(t, ""), 1))
-			d.onLoop(t, func(h *client, c gnet.Conn) { k.breaks(d, h, c) })
-			require.Equal(t, map[string]int{k.rule.String(): 1}, d.violations(t))
+			d.onLoop(t, func(h *client, c gnet.Conn) { test.violate(d, h, c) })
+			require.Equal(t, map[string]int{test.rule.String(): 1}, d.violations(t))
 		})
 	}
 }
 
-// answerNow writes an answer so long after its request's time.
-func (d *door) answerNow(h *client, c gnet.Conn, late float64) {
+// answerNow writes an answer lateMillis after its request's deadline.
+func (d *door) answerNow(h *client, c gnet.Conn, lateMillis float64) {
 	h.cancelRequest = func() {}
 	s := sqlcomment.Statement{ID: "1", TimeoutMillis: 10}
 	_ = d.edge.Begin(&s)
 	result := edge.Result{Verdict: edge.Failed}
-	h.answer(c, &s, &result, EncodeResult(&result), d.clock.Now()-s.TimeoutMillis-late)
+	h.answer(c, &s, &result, EncodeResult(&result), d.clock.Now()-s.TimeoutMillis-lateMillis)
 }
 
-// A close over bytes that lie in the kernel is counted, and closeIfIdle does not make one.
+// Closing a connection with unread bytes in the kernel must be counted as a violation, and closeIfIdle must not
+// do it.
 func TestAClientWithUnreadBytesIsNotClosed(t *testing.T) {
 	d := listen(t, FrontLimits{Clients: 16, Bytes: 1 << 20})
-	caller := d.call(t, "")
-	require.Equal(t, []string{"empty"}, errorsOf(t, caller, 1))
+	clientConn := d.call(t, "")
+	require.Equal(t, []string{"empty"}, errorsOf(t, clientConn, 1))
 	d.onLoop(t, func(h *client, c gnet.Conn) {
-		_, err := caller.Write(appendQuery(nil, func(b []byte) []byte { return b }))
+		_, err := clientConn.Write(appendQuery(nil, func(b []byte) []byte { return b }))
 		require.NoError(t, err)
 		require.Eventually(t, func() bool { return hasUnreadBytes(c) }, 10*time.Second, time.Millisecond)
 		require.False(t, h.closeIfIdle(c, lifecycle.ClosedIdle))
 		require.Equal(t, lifecycle.BytesUnread, h.mayClose(c).Reason)
 	})
-	require.Equal(t, []string{"empty"}, errorsOf(t, caller, 1))
+	require.Equal(t, []string{"empty"}, errorsOf(t, clientConn, 1))
 	require.Empty(t, d.violations(t))
 	d.onLoop(t, func(h *client, c gnet.Conn) {
-		_, err := caller.Write(appendQuery(nil, func(b []byte) []byte { return b }))
+		_, err := clientConn.Write(appendQuery(nil, func(b []byte) []byte { return b }))
 		require.NoError(t, err)
 		require.Eventually(t, func() bool { return hasUnreadBytes(c) }, 10*time.Second, time.Millisecond)
 		h.close(c, lifecycle.ClosedIdle)
@@ -344,24 +351,25 @@
 	require.Equal(t, map[string]int{"closed_with_unread_bytes": 1}, d.violations(t))
 }
 
-// Requests behind too many that make no sense are answered before the connection ends, and every end has its reason.
-func TestRequestsBehindRubbishAreAnswered(t *testing.T) {
+// Requests sent behind too many invalid ones must be answered before the connection is closed, and the close
+// has its reason.
+func TestRequestsBehindMalformedOnesAreAnswered(t *testing.T) {
 	d := listen(t, FrontLimits{Clients: 16, Bytes: 1 << 20, RetryAfterMillis: 300})
-	texts := make([]string, maxInvalidRequests+1, maxInvalidRequests+3)
-	for i := range texts {
-		texts[i] = "SELECT 1"
+	queries := make([]string, maxInvalidRequests+1, maxInvalidRequests+3)
+	for i := range queries {
+		queries[i] = "SELECT 1"
 	}
-	c := d.call(t, append(texts, report("a"), report("b"))...)
+	c := d.call(t, append(queries, report("a"), report("b"))...)
 	got := errorsOf(t, c, 0)
 	c.Close()
 	require.Equal(t, []string{"ERROR 53300 300", "ERROR 53300 300", "FATAL 08P01 "}, got[len(got)-3:])
-	require.Eventually(t, func() bool { return d.figure(t, "ashstand_client_connections_closed_total", "protocol") == 1 }, 10*time.Second, time.Millisecond)
-	require.InDelta(t, 2, d.figure(t, "ashstand_requests_rejected_total", "read_ahead"), 0)
+	require.Eventually(t, func() bool { return d.counterValue(t, "ashstand_client_connections_closed_total", "protocol") == 1 }, 10*time.Second, time.Millisecond)
+	require.InDelta(t, 2, d.counterValue(t, "ashstand_requests_rejected_total", "read_ahead"), 0)
 	require.Empty(t, d.violations(t))
 }
 
-// A process that is told to end before it holds a list starts nothing: 57P03, and a request is answered at its end.
-func TestADrainBeforeTheListStartsNothing(t *testing.T) {
+// A process that drains before it has an endpoint list must start no request: it rejects each with 57P03.
+func TestDrainBeforeFirstEndpointListStartsNothing(t *testing.T) {
 	d := listen(t, FrontLimits{Clients: 16, Bytes: 1 << 20})
 	require.Equal(t, []string{"empty"}, errorsOf(t, d.call(t, ""), 1))
 	class := routing.Class{Name: "report", LatencyObjective: time.Minute, Deadline: time.Minute, PriorityWeight: 1, LateFraction: 1}
@@ -374,17 +382,18 @@
 	d.edge.Advance(lifecycle.DrainStarted)
 	require.Equal(t, []string{"ERROR 57P03 "}, errorsOf(t, d.call(t, report("a")), 1))
 	require.Empty(t, d.violations(t))
-	require.InDelta(t, 1, d.figure(t, "ashstand_requests_rejected_total", "not_ready"), 0)
+	require.InDelta(t, 1, d.counterValue(t, "ashstand_requests_rejected_total", "not_ready"), 0)
 }
 
-// The request that comes after as many as may be that the core finds invalid is answered before the connection ends.
+// A request sent behind the maximum number of requests that the edge finds invalid must be answered before the
+// connection is closed.
 func TestARequestBehindInvalidOnesIsAnswered(t *testing.T) {
 	d := listen(t, FrontLimits{Clients: 16, Bytes: 1 << 20, RetryAfterMillis: 300})
-	var texts []string
+	var queries []string
 	for i := range maxInvalidRequests + 1 {
-		texts = append(texts, fmt.Sprintf("/* id=i%d,c=unknown,d=20000,cluster=1 */ SELECT 'k'", i))
+		queries = append(queries, fmt.Sprintf("/* id=i%d,c=unknown,d=20000,cluster=1 */ SELECT 'k'", i))
 	}
-	c := d.call(t, append(texts, report("a"))...)
+	c := d.call(t, append(queries, report("a"))...)
 	got := errorsOf(t, c, 0)
 	c.Close()
 	require.Len(t, got, maxInvalidRequests+3)
--- a/internal/net/pg/golden_test.go
+++ b/internal/net/pg/golden_test.go
@@ -28,16 +28,16 @@
 
 var updateGolden = flag.Bool("update-golden", false, "write the golden files from what the program sends now")
 
-// transcript is what went over connections, one message a line: "> " to the pooler by a client, "< " by the pooler to a
-// client, "| " by the pooler to a db host. Lines that begin with "= " name the scene.
+// transcript records the messages on connections, one per line: "> " from a client to the pooler, "< " from the
+// pooler to a client, "| " from the pooler to a database host. Lines that begin with "= " name the section.
 type transcript struct {
 	t     *testing.T
 	lines []string
 }
 
-func (s *transcript) scene(name string) { s.lines = append(s.lines, "= "+name) }
+func (s *transcript) section(name string) { s.lines = append(s.lines, "= "+name) }
 
-// add notes messages; each has a kind and a length but where untyped says that the first has no kind.
+// add records messages. Each has a kind and a length, except that the first one has no kind if untyped is set.
 func (s *transcript) add(mark string, b []byte, untyped bool) {
 	for len(b) > 0 {
 		n := len(b)
@@ -52,8 +52,8 @@
 	}
 }
 
-// compare writes the golden file or compares with it, and reads what is committed: each message of the pooler's that is cut
-// off it and put together again has the same bytes.
+// compare compares the transcript with the golden file, which it first rewrites if -update-golden is set. It
+// also parses and re-encodes each message of the pooler in the file, and requires the same bytes.
 func (s *transcript) compare(name string) {
 	path := filepath.Join("testdata", "golden", name+".txt")
 	got := strings.Join(s.lines, "\n") + "\n"
@@ -71,7 +71,7 @@
 		}
 		text, err := strconv.Unquote(quoted)
 		require.NoError(s.t, err)
-		if text == "N" { // the answer to a request for encryption is no message
+		if text == "N" { // the answer to a request for encryption has no message header
 			continue
 		}
 		kind, body, rest, ok, err := nextMessage([]byte(text), 1<<20)
@@ -80,31 +80,31 @@
 	}
 }
 
-// scripted is a client whose bytes are noted.
-type scripted struct {
+// scriptedClient is a client whose messages are recorded in the transcript.
+type scriptedClient struct {
 	*transcript
-	conn net.Conn
-	in   []byte
-	key  [8]byte // what it was given for cancel requests
+	conn      net.Conn
+	in        []byte
+	cancelKey [8]byte // key for cancel requests
 }
 
-func (s *transcript) client(address string) *scripted {
+func (s *transcript) client(address string) *scriptedClient {
 	c, err := net.Dial("tcp", address)
 	require.NoError(s.t, err)
 	s.t.Cleanup(func() { c.Close() })
 	require.NoError(s.t, c.SetDeadline(time.Now().Add(20*time.Second)))
-	return &scripted{transcript: s, conn: c}
+	return &scriptedClient{transcript: s, conn: c}
 }
 
-// start sends a message that has no kind.
-func (c *scripted) start(b []byte) *scripted {
+// sendStartup sends a message without a kind, such as a startup message.
+func (c *scriptedClient) sendStartup(b []byte) *scriptedClient {
 	c.add(">", b, true)
 	_, err := c.conn.Write(b)
 	require.NoError(c.t, err)
 	return c
 }
 
-func (c *scripted) send(messages ...[]byte) *scripted {
+func (c *scriptedClient) send(messages ...[]byte) *scriptedClient {
 	var all []byte
 	for _, b := range messages {
 		c.add(">", b, false)
@@ -115,16 +115,16 @@
 	return c
 }
 
-// hear notes what comes up to a message of one of these kinds, or up to the end of the connection.
-func (c *scripted) hear(until string) *scripted {
+// readUntil records the messages up to one of these kinds, or up to the end of the connection.
+func (c *scriptedClient) readUntil(until string) *scriptedClient {
 	buffer := make([]byte, 16<<10)
 	for {
 		kind, body, rest, ok, err := nextMessage(c.in, 1<<20)
 		require.NoError(c.t, err)
 		if ok {
 			m := append([]byte(nil), c.in[:len(c.in)-len(rest)]...)
-			if kind == 'K' { // the number of a connection, and what is drawn
-				copy(c.key[:], body)
+			if kind == 'K' { // clears the connection number and the random secret
+				copy(c.cancelKey[:], body)
 				clear(m[5:])
 			}
 			c.add("<", m, false)
@@ -144,14 +144,16 @@
 	}
 }
 
-// begin starts a session.
-func (c *scripted) begin() *scripted { return c.start(startupMessage("web", "orders")).hear("Z") }
+// startSession sends a startup message and reads the answer.
+func (c *scriptedClient) startSession() *scriptedClient {
+	return c.sendStartup(startupMessage("web", "orders")).readUntil("Z")
+}
 
-func simple(text string) []byte {
+func simpleQuery(text string) []byte {
 	return appendQuery(nil, func(b []byte) []byte { return append(b, text...) })
 }
 
-func typed(kind byte, body string) []byte {
+func typedMessage(kind byte, body string) []byte {
 	return appendMessage(nil, kind, func(b []byte) []byte { return append(b, body...) })
 }
 
@@ -159,7 +161,7 @@
 	return binary.BigEndian.AppendUint32(binary.BigEndian.AppendUint32(nil, size), code)
 }
 
-// startupOf is a startup message with these parameters.
+// startupOf encodes a startup message with these parameters.
 func startupOf(code uint32, parameters ...string) []byte {
 	b := binary.BigEndian.AppendUint32([]byte{0, 0, 0, 0}, code)
 	for _, p := range parameters {
@@ -172,74 +174,74 @@
 
 const goldenRequest = "/* id=1,c=report,d=20000,cluster=1 */ SELECT 'k'"
 
-// The front in statement mode: every answer that it makes itself.
+// Compares every answer that the front in statement mode generates itself with the golden file.
 func TestGoldenFront(t *testing.T) {
 	s := &transcript{t: t}
 	d := listen(t, FrontLimits{Clients: 64, Bytes: 1 << 20, RetryAfterMillis: 300})
-	busy := func(n int) {
+	awaitInFlight := func(n int) {
 		require.Eventually(t, func() bool { return d.count(func(h *client) bool { return h.requestInFlight }) == n }, 10*time.Second, time.Millisecond)
 	}
-	s.scene("start-up, and what needs no host")
-	c := s.client(d.address).start(untypedHeader(8, codeSSL))
+	s.section("start-up, and what needs no host")
+	c := s.client(d.address).sendStartup(untypedHeader(8, codeSSL))
 	one := make([]byte, 1)
 	_, err := io.ReadFull(c.conn, one)
 	require.NoError(t, err)
 	s.add("<", one, false)
-	c.begin()
+	c.startSession()
 	for _, m := range [][]byte{
-		simple(""), simple(" ; "), simple("SET a TO 1"), simple("RESET a"), simple("DISCARD ALL"), typed('S', ""),
-		typed('F', "\x00\x00\x00\x01\x00\x00\x00\x00\x00\x00"), simple("SELECT 1"), simple("/* id=1,c=none,d=5,cluster=1 */ SELECT 1"),
+		simpleQuery(""), simpleQuery(" ; "), simpleQuery("SET a TO 1"), simpleQuery("RESET a"), simpleQuery("DISCARD ALL"), typedMessage('S', ""),
+		typedMessage('F', "\x00\x00\x00\x01\x00\x00\x00\x00\x00\x00"), simpleQuery("SELECT 1"), simpleQuery("/* id=1,c=none,d=5,cluster=1 */ SELECT 1"),
 	} {
-		c.send(m).hear("Z")
+		c.send(m).readUntil("Z")
 	}
-	c.send(typed('P', "\x00SELECT 1\x00\x00\x00"), typed('B', "\x00\x00\x00\x00\x00\x00\x00\x00"), typed('S', "")).hear("Z")
-	c.send(typed('X', "")).hear("")
-	s.scene("a later minor version")
-	s.client(d.address).start(startupOf(protocolVersion3+2, "user", "web")).hear("Z").send(typed('?', "")).hear("")
-	s.scene("another protocol")
-	s.client(d.address).start(startupOf(2<<16, "user", "web")).hear("")
-	s.scene("lengths out of bounds")
-	s.client(d.address).start([]byte{0, 0, 0, 4, 0, 3, 0, 0}).hear("")
-	s.client(d.address).begin().send([]byte{'Q', 0xff, 0xff, 0xff, 0xff}).hear("")
-	s.client(d.address).begin().send(typed('Q', "SELECT")).hear("")
-	s.scene("too many that make no sense")
-	rubbish := make([][]byte, maxInvalidRequests+1)
-	for i := range rubbish {
-		rubbish[i] = simple("SELECT 1")
+	c.send(typedMessage('P', "\x00SELECT 1\x00\x00\x00"), typedMessage('B', "\x00\x00\x00\x00\x00\x00\x00\x00"), typedMessage('S', "")).readUntil("Z")
+	c.send(typedMessage('X', "")).readUntil("")
+	s.section("a later minor version")
+	s.client(d.address).sendStartup(startupOf(protocolVersion3+2, "user", "web")).readUntil("Z").send(typedMessage('?', "")).readUntil("")
+	s.section("another protocol")
+	s.client(d.address).sendStartup(startupOf(2<<16, "user", "web")).readUntil("")
+	s.section("lengths out of bounds")
+	s.client(d.address).sendStartup([]byte{0, 0, 0, 4, 0, 3, 0, 0}).readUntil("")
+	s.client(d.address).startSession().send([]byte{'Q', 0xff, 0xff, 0xff, 0xff}).readUntil("")
+	s.client(d.address).startSession().send(typedMessage('Q', "SELECT")).readUntil("")
+	s.section("too many that make no sense")
+	invalid := make([][]byte, maxInvalidRequests+1)
+	for i := range invalid {
+		invalid[i] = simpleQuery("SELECT 1")
 	}
-	s.client(d.address).begin().send(rubbish...).hear("")
-	s.scene("a cancel request")
-	c = s.client(d.address).begin().send(simple(goldenRequest))
-	busy(1)
-	cancelRequest := append(untypedHeader(16, codeCancel), c.key[:]...)
+	s.client(d.address).startSession().send(invalid...).readUntil("")
+	s.section("a cancel request")
+	c = s.client(d.address).startSession().send(simpleQuery(goldenRequest))
+	awaitInFlight(1)
+	cancelRequest := append(untypedHeader(16, codeCancel), c.cancelKey[:]...)
 	other := s.client(d.address)
-	_, err = other.conn.Write(cancelRequest) // its bytes are drawn
+	_, err = other.conn.Write(cancelRequest) // not recorded, since the key is random
 	require.NoError(t, err)
-	other.hear("")
-	c.hear("Z")
-	s.scene("silence")
+	other.readUntil("")
+	c.readUntil("Z")
+	s.section("silence")
 	silent := s.client(d.address)
 	require.Eventually(t, func() bool {
 		return d.count(func(h *client) bool { return !h.hasRequested && !h.closingWithError && !h.parser.started }) == 1
 	}, 10*time.Second, time.Millisecond)
 	d.clock.Advance(maxSilentMillis + 1)
 	d.Sweep()
-	silent.hear("")
-	s.scene("the end of the process")
-	asked := s.client(d.address).begin().send(simple("")).hear("Z")
-	c = s.client(d.address).begin().send(simple(goldenRequest), simple(goldenRequest))
-	busy(1)
+	silent.readUntil("")
+	s.section("the end of the process")
+	idleClient := s.client(d.address).startSession().send(simpleQuery("")).readUntil("Z")
+	c = s.client(d.address).startSession().send(simpleQuery(goldenRequest), simpleQuery(goldenRequest))
+	awaitInFlight(1)
 	d.Cut()
-	asked.hear("")
-	c.hear("")
-	s.client(d.address).hear("")
-	s.scene("too many connections")
+	idleClient.readUntil("")
+	c.readUntil("")
+	s.client(d.address).readUntil("")
+	s.section("too many connections")
 	d = listen(t, FrontLimits{Clients: 1, Bytes: 1 << 20, RetryAfterMillis: 300})
-	s.client(d.address).hear("")
-	s.scene("no list yet")
-	d.Front = NewFront(edge.New(unready(t), d.clock, nowhere{}), FrontLimits{Clients: 64, Bytes: 1 << 20})
-	s.client(serve(t, d.Accept)).begin().send(simple(goldenRequest)).hear("Z")
-	s.scene("results")
+	s.client(d.address).readUntil("")
+	s.section("no list yet")
+	d.Front = NewFront(edge.New(dispatcherWithoutEndpoints(t), d.clock, nowhere{}), FrontLimits{Clients: 64, Bytes: 1 << 20})
+	s.client(startLoop(t, d.Accept)).startSession().send(simpleQuery(goldenRequest)).readUntil("Z")
+	s.section("results")
 	for _, r := range []edge.Result{
 		{Verdict: edge.Served, Answer: edge.Answer{Column: "payload", Type: 17, Binary: true, Value: []byte("\x00v"), Tag: "SELECT 1", Role: "replica", Position: 1767225600123, LoadReport: "x0=1"}},
 		{Verdict: edge.Served, Answer: edge.Answer{Column: "payload", Type: 25, Null: true, Tag: "SELECT 1"}},
@@ -254,8 +256,8 @@
 	s.compare("front")
 }
 
-// unready is a facade that has no list of hosts.
-func unready(t *testing.T) *dispatch.Dispatcher {
+// dispatcherWithoutEndpoints returns a dispatcher that has no endpoint list yet.
+func dispatcherWithoutEndpoints(t *testing.T) *dispatch.Dispatcher {
 	site, err := settings.Parse([]byte(poolSite))
 	require.NoError(t, err)
 	f, err := dispatch.New(site, 1, clock.System(), nil, nil)
@@ -263,8 +265,8 @@
 	return f
 }
 
-// serve listens with a loop of its own.
-func serve(t *testing.T, accept loop.Accept) (address string) {
+// startLoop starts an event loop that listens on a free port.
+func startLoop(t *testing.T, accept loop.Accept) (address string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address = l.Addr().String()
@@ -275,13 +277,13 @@
 	return address
 }
 
-// The connections of the pool for statements: the startup message, a request and a probe.
+// Compares what the statement pool sends to a host: the startup message, a request and a probe.
 func TestGoldenPool(t *testing.T) {
 	s := &transcript{t: t}
 	got := make(chan []byte, 16)
 	r := start(t, func(c net.Conn, _ *pgproto3.Backend) {
 		got <- readUntyped(c)
-		_, _ = c.Write(appendReady(typed('R', "\x00\x00\x00\x00")))
+		_, _ = c.Write(appendReady(typedMessage('R', "\x00\x00\x00\x00")))
 		for b := readTyped(c); b != nil; b = readTyped(c) {
 			got <- b
 			_, _ = c.Write(whole())
@@ -294,7 +296,7 @@
 	require.NoError(t, err)
 	require.Equal(t, dispatch.OK, c.Exchange(ctx, parsedPlain(t), open).Code)
 	require.Equal(t, dispatch.OK, r.Probe(ctx, "h", func(string) bool { return true }).Code)
-	s.scene("start-up, a request, a probe")
+	s.section("start-up, a request, a probe")
 	s.add("|", <-got, true)
 	s.add("|", <-got, false)
 	s.add("|", <-got, false)
@@ -321,19 +323,20 @@
 	return b
 }
 
-// scriptedHost answers as it is told by the text of a statement, and notes what it gets.
+// scriptedHost is a database host whose answers depend on the statement's text. It records the messages that it
+// receives.
 type scriptedHost struct {
-	address string
-	got     chan []byte // untyped messages with a 0 in front
-	cancels chan []byte
-	resume  chan struct{} // what a statement that sleeps waits for
+	address  string
+	received chan []byte // messages in order; one without a kind is prefixed with a zero byte
+	cancels  chan []byte
+	resume   chan struct{} // a statement with "sleep" in its text waits for a value
 }
 
 func newScriptedHost(t *testing.T) *scriptedHost {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
-	h := &scriptedHost{address: l.Addr().String(), got: make(chan []byte, 1000), cancels: make(chan []byte, 1), resume: make(chan struct{})}
+	h := &scriptedHost{address: l.Addr().String(), received: make(chan []byte, 1000), cancels: make(chan []byte, 1), resume: make(chan struct{})}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -356,10 +359,10 @@
 		h.cancels <- first
 		return
 	}
-	h.got <- append([]byte{0}, first...)
-	out := appendParameterStatus(typed('R', "\x00\x00\x00\x00"), "server_version", "16.1")
-	out = appendReady(append(out, typed('K', "\x00\x00\x00\x07\x00\x00\x00\x09")...))
-	block, skip := byte('I'), false
+	h.received <- append([]byte{0}, first...)
+	out := appendParameterStatus(typedMessage('R', "\x00\x00\x00\x00"), "server_version", "16.1")
+	out = appendReady(append(out, typedMessage('K', "\x00\x00\x00\x07\x00\x00\x00\x09")...))
+	transactionStatus, skipUntilSync := byte('I'), false
 	for {
 		if _, err := c.Write(out); err != nil {
 			return
@@ -368,31 +371,31 @@
 		if b == nil {
 			return
 		}
-		h.got <- b
+		h.received <- b
 		out = nil
 		body := string(b[5:])
-		if skip && b[0] != 'S' {
+		if skipUntilSync && b[0] != 'S' {
 			continue
 		}
 		fail := func(code, text string) {
-			if out = appendError(nil, "ERROR", code, text, ""); block == 'T' {
-				block = 'E'
+			if out = appendError(nil, "ERROR", code, text, ""); transactionStatus == 'T' {
+				transactionStatus = 'E'
 			}
 		}
 		switch b[0] {
 		case 'P', 'B', 'C':
 			if b[0] == 'B' && strings.Contains(body, session.FailingStatement) {
 				fail("26000", "no such statement")
-				skip = true
+				skipUntilSync = true
 				continue
 			}
-			out = typed(map[byte]byte{'P': '1', 'B': '2', 'C': '3'}[b[0]], "")
+			out = typedMessage(map[byte]byte{'P': '1', 'B': '2', 'C': '3'}[b[0]], "")
 		case 'D':
-			out = typed('n', "")
+			out = typedMessage('n', "")
 		case 'E':
 			out = appendCommandComplete(nil, "SELECT 0")
 		case 'S':
-			out, skip = typed('Z', string(block)), false
+			out, skipUntilSync = typedMessage('Z', string(transactionStatus)), false
 		case 'Q':
 			switch text := strings.TrimSuffix(body, "\x00"); {
 			case strings.Contains(text, "cut"):
@@ -403,37 +406,37 @@
 			case text == session.FailingQuery:
 				fail("42601", "syntax error")
 			case text == "BEGIN":
-				block = 'T'
+				transactionStatus = 'T'
 				out = appendCommandComplete(nil, "BEGIN")
 			case text == "ROLLBACK", text == "COMMIT":
-				block = 'I'
+				transactionStatus = 'I'
 				out = appendCommandComplete(nil, text)
 			case strings.HasPrefix(text, "SELECT pg_catalog"):
-				out = appendCommandComplete(typed('D', "\x00\x01\xff\xff\xff\xff"), "SELECT 1")
-				out = append(typed('T', "\x00\x01a\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x19\xff\xff\xff\xff\xff\xff\x00\x00"), out...)
+				out = appendCommandComplete(typedMessage('D', "\x00\x01\xff\xff\xff\xff"), "SELECT 1")
+				out = append(typedMessage('T', "\x00\x01a\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x19\xff\xff\xff\xff\xff\xff\x00\x00"), out...)
 			default:
 				tag, _, _ := strings.Cut(text, " ")
 				out = appendCommandComplete(nil, strings.TrimSuffix(tag, ";"))
 			}
-			out = append(out, typed('Z', string(block))...)
+			out = append(out, typedMessage('Z', string(transactionStatus))...)
 		}
 	}
 }
 
-// seen notes what the host got so far.
-func (h *scriptedHost) seen(s *transcript) {
+// recordReceived adds the messages that the host has received so far to the transcript.
+func (h *scriptedHost) recordReceived(s *transcript) {
 	for {
 		select {
-		case b := <-h.got:
-			addSeen(s, b)
+		case b := <-h.received:
+			addReceived(s, b)
 		default:
 			return
 		}
 	}
 }
 
-// addSeen adds one message that the host got.
-func addSeen(s *transcript, b []byte) {
+// addReceived adds one message that the host received to the transcript.
+func addReceived(s *transcript, b []byte) {
 	if b[0] == 0 {
 		s.add("|", b[1:], true)
 	} else {
@@ -441,57 +444,57 @@
 	}
 }
 
-// goldenPool is a front for sessions whose transactions go to a scripted host, on one connection.
-func goldenPool(t *testing.T, change func(l *SessionLimits), homes ...Assignments) (*pooled, *scriptedHost) {
+// goldenPool starts a session front whose transactions go to a scripted host, over one connection.
+func goldenPool(t *testing.T, change func(l *SessionLimits), assignments ...Assignments) (*pooled, *scriptedHost) {
 	w := pool(t, func(l *SessionLimits) {
 		l.Pools[0].Sizes.MaxConnections, l.Pools[0].MaxSticky, l.Pools[0].Database = 1, 0, "orders"
 		if change != nil {
 			change(l)
 		}
-	}, homes...)
+	}, assignments...)
 	h := newScriptedHost(t)
 	w.front.SetAddress("a", h.address)
 	return w, h
 }
 
-// The front in transaction mode: what it answers itself, what it passes on, and what it sends to a host.
+// Compares what the front in transaction mode answers itself, relays, and sends to a host.
 func TestGoldenSessions(t *testing.T) {
 	s := &transcript{t: t}
 	w, h := goldenPool(t, nil)
-	s.scene("start-up, and what needs no host")
-	c := s.client(w.address).start(untypedHeader(8, codeSSL))
+	s.section("start-up, and what needs no host")
+	c := s.client(w.address).sendStartup(untypedHeader(8, codeSSL))
 	one := make([]byte, 1)
 	_, err := io.ReadFull(c.conn, one)
 	require.NoError(t, err)
 	s.add("<", one, false)
-	c.begin()
-	for _, m := range [][]byte{simple(""), simple("DEALLOCATE ALL"), simple("DISCARD ALL"), typed('S', "")} {
-		c.send(m).hear("Z")
+	c.startSession()
+	for _, m := range [][]byte{simpleQuery(""), simpleQuery("DEALLOCATE ALL"), simpleQuery("DISCARD ALL"), typedMessage('S', "")} {
+		c.send(m).readUntil("Z")
 	}
-	s.scene("a query, and what the host reports")
-	c.send(simple("SELECT 1")).hear("Z")
-	h.seen(s)
-	s.scene("statements that are prepared")
-	bind := typed('B', "\x00s1\x00\x00\x00\x00\x01\x00\x00\x00\x017\x00\x00")
-	c.send(typed('P', "s1\x00SELECT $1\x00\x00\x00"), typed('D', "Ss1\x00"), bind, typed('E', "\x00\x00\x00\x00\x00"), typed('S', "")).hear("Z")
-	c.send(typed('P', "s1\x00SELECT $1\x00\x00\x00"), typed('S', "")).hear("Z")
-	c.send(simple("EXECUTE s1(1)")).hear("Z")
-	c.send(typed('C', "Ss1\x00"), typed('S', "")).hear("Z")
-	h.seen(s)
-	s.scene("settings are restored for another session")
-	c.send(simple("SET app.who TO 'c'")).hear("Z")
-	other := s.client(w.address).start(startupOf(protocolVersion3, "user", "web", "database", "orders", "application_name", "o'ther", "options", "-c app.more=1 --app.less=2")).hear("Z")
-	other.send(simple("SELECT 2")).hear("Z")
-	c.send(simple("SELECT 3")).hear("Z")
-	h.seen(s)
-	s.scene("refused, and the session goes on")
+	s.section("a query, and what the host reports")
+	c.send(simpleQuery("SELECT 1")).readUntil("Z")
+	h.recordReceived(s)
+	s.section("statements that are prepared")
+	bind := typedMessage('B', "\x00s1\x00\x00\x00\x00\x01\x00\x00\x00\x017\x00\x00")
+	c.send(typedMessage('P', "s1\x00SELECT $1\x00\x00\x00"), typedMessage('D', "Ss1\x00"), bind, typedMessage('E', "\x00\x00\x00\x00\x00"), typedMessage('S', "")).readUntil("Z")
+	c.send(typedMessage('P', "s1\x00SELECT $1\x00\x00\x00"), typedMessage('S', "")).readUntil("Z")
+	c.send(simpleQuery("EXECUTE s1(1)")).readUntil("Z")
+	c.send(typedMessage('C', "Ss1\x00"), typedMessage('S', "")).readUntil("Z")
+	h.recordReceived(s)
+	s.section("settings are restored for another session")
+	c.send(simpleQuery("SET app.who TO 'c'")).readUntil("Z")
+	other := s.client(w.address).sendStartup(startupOf(protocolVersion3, "user", "web", "database", "orders", "application_name", "o'ther", "options", "-c app.more=1 --app.less=2")).readUntil("Z")
+	other.send(simpleQuery("SELECT 2")).readUntil("Z")
+	c.send(simpleQuery("SELECT 3")).readUntil("Z")
+	h.recordReceived(s)
+	s.section("refused, and the session goes on")
 	for _, text := range []string{"/* cluster=x */ SELECT 1", "/* c=none */ SELECT 1", "LISTEN x"} {
-		c.send(simple(text)).hear("Z")
+		c.send(simpleQuery(text)).readUntil("Z")
 	}
-	c.send(typed('P', "\x00LISTEN x\x00\x00\x00"), bind, typed('S', "")).hear("Z")
-	h.seen(s)
-	s.scene("a query that is cancelled")
-	c.send(simple("SELECT sleep"))
+	c.send(typedMessage('P', "\x00LISTEN x\x00\x00\x00"), bind, typedMessage('S', "")).readUntil("Z")
+	h.recordReceived(s)
+	s.section("a query that is cancelled")
+	c.send(simpleQuery("SELECT sleep"))
 	cancelRequest := untypedHeader(16, codeCancel)
 	require.Eventually(t, func() bool {
 		n := make(chan bool, 1)
@@ -507,24 +510,24 @@
 		return <-n
 	}, 10*time.Second, time.Millisecond)
 	canceller := s.client(w.address)
-	_, err = canceller.conn.Write(append(cancelRequest, c.key[:]...))
+	_, err = canceller.conn.Write(append(cancelRequest, c.cancelKey[:]...))
 	require.NoError(t, err)
-	canceller.hear("")
-	addSeen(s, <-h.got) // the pooler has written the query; the host may be about to read it
+	canceller.readUntil("")
+	addReceived(s, <-h.received) // the pooler has written the query; the host may be about to read it
 	s.add("|", <-h.cancels, true)
 	h.resume <- struct{}{}
-	c.hear("Z")
-	s.scene("connections that are lost")
-	c.send(simple("BEGIN")).hear("Z").send(simple("SELECT cut")).hear("Z").send(simple("SELECT 1")).hear("Z")
-	c.send(typed('P', "\x00SELECT 1\x00\x00\x00"), typed('S', "")).hear("Z").send(simple("")).hear("Z").send(simple("ROLLBACK")).hear("Z")
-	c.send(simple("INSERT INTO cut VALUES (1)")).hear("Z")
-	c.send(typed('X', "")).hear("")
-	h.seen(s)
-	s.scene("messages that can't be read")
-	for _, m := range [][]byte{typed('?', ""), {'Q', 0, 0, 0, 3}, typed('Q', "ab"), typed('D', "X\x00")} {
-		s.client(w.address).begin().send(m).hear("")
+	c.readUntil("Z")
+	s.section("connections that are lost")
+	c.send(simpleQuery("BEGIN")).readUntil("Z").send(simpleQuery("SELECT cut")).readUntil("Z").send(simpleQuery("SELECT 1")).readUntil("Z")
+	c.send(typedMessage('P', "\x00SELECT 1\x00\x00\x00"), typedMessage('S', "")).readUntil("Z").send(simpleQuery("")).readUntil("Z").send(simpleQuery("ROLLBACK")).readUntil("Z")
+	c.send(simpleQuery("INSERT INTO cut VALUES (1)")).readUntil("Z")
+	c.send(typedMessage('X', "")).readUntil("")
+	h.recordReceived(s)
+	s.section("messages that can't be read")
+	for _, m := range [][]byte{typedMessage('?', ""), {'Q', 0, 0, 0, 3}, typedMessage('Q', "ab"), typedMessage('D', "X\x00")} {
+		s.client(w.address).startSession().send(m).readUntil("")
 	}
-	s.scene("start-up that is refused")
+	s.section("start-up that is refused")
 	for _, b := range [][]byte{
 		{0, 0, 0, 4, 0, 3, 0, 0},
 		startupOf(2<<16, "user", "web"), startupOf(protocolVersion3, "database", "orders"),
@@ -533,66 +536,67 @@
 		startupOf(protocolVersion3, "user", "web", "database", "orders", "options", "-x"),
 		startupOf(protocolVersion3, "user", "web", "database", "orders", "options", "-c nothing"),
 	} {
-		s.client(w.address).start(b).hear("")
+		s.client(w.address).sendStartup(b).readUntil("")
 	}
-	s.scene("a later minor version")
-	s.client(w.address).start(startupOf(protocolVersion3+2, "user", "web", "database", "orders")).hear("Z")
+	s.section("a later minor version")
+	s.client(w.address).sendStartup(startupOf(protocolVersion3+2, "user", "web", "database", "orders")).readUntil("Z")
 	s.compare("sessions")
 }
 
-// What the front in transaction mode refuses for its limits, its state or its homes.
+// Compares the rejections of the front in transaction mode that are due to limits, its state or tenant
+// assignments.
 func TestGoldenSessionLimits(t *testing.T) {
 	s := &transcript{t: t}
-	s.scene("too many connections")
+	s.section("too many connections")
 	w, _ := goldenPool(t, func(l *SessionLimits) { l.Clients = 0 })
-	s.client(w.address).hear("")
-	s.scene("no connection is free, and nobody may wait")
+	s.client(w.address).readUntil("")
+	s.section("no connection is free, and nobody may wait")
 	w, _ = goldenPool(t, func(l *SessionLimits) { l.Pools[0].Sizes.MaxWaiting = 0 })
-	s.client(w.address).begin().send(simple("SELECT 1")).hear("Z").send(typed('P', "\x00SELECT 1\x00\x00\x00"), typed('S', "")).hear("Z")
-	s.scene("no connection is free in time")
+	s.client(w.address).startSession().send(simpleQuery("SELECT 1")).readUntil("Z").send(typedMessage('P', "\x00SELECT 1\x00\x00\x00"), typedMessage('S', "")).readUntil("Z")
+	s.section("no connection is free in time")
 	w, _ = goldenPool(t, func(l *SessionLimits) { l.Pools[0].WaitTimeoutMillis = 50 })
-	s.client(w.address).begin().send(simple("BEGIN")).hear("Z")
-	s.client(w.address).begin().send(simple("SELECT 1")).hear("Z")
-	s.scene("sessions that may be bound are")
+	s.client(w.address).startSession().send(simpleQuery("BEGIN")).readUntil("Z")
+	s.client(w.address).startSession().send(simpleQuery("SELECT 1")).readUntil("Z")
+	s.section("sessions that may be bound are")
 	w, _ = goldenPool(t, func(l *SessionLimits) { l.Pools[0].Sizes.MaxConnections, l.Pools[0].MaxSticky = 2, 1 })
-	bound := s.client(w.address).begin().send(simple("LISTEN x")).hear("Z")
-	s.client(w.address).begin().send(simple("LISTEN x")).hear("Z")
-	bound.send(simple("SELECT cut")).hear("Z").send(simple("LISTEN x")).hear("Z").send(simple("SELECT 1")).hear("Z")
-	s.scene("no memory for statements")
+	bound := s.client(w.address).startSession().send(simpleQuery("LISTEN x")).readUntil("Z")
+	s.client(w.address).startSession().send(simpleQuery("LISTEN x")).readUntil("Z")
+	bound.send(simpleQuery("SELECT cut")).readUntil("Z").send(simpleQuery("LISTEN x")).readUntil("Z").send(simpleQuery("SELECT 1")).readUntil("Z")
+	s.section("no memory for statements")
 	w, _ = goldenPool(t, func(l *SessionLimits) { l.Bytes = 1 })
-	s.client(w.address).begin().send(typed('P', "\x00SELECT 1\x00\x00\x00"), typed('S', "")).hear("Z")
-	s.scene("a password")
+	s.client(w.address).startSession().send(typedMessage('P', "\x00SELECT 1\x00\x00\x00"), typedMessage('S', "")).readUntil("Z")
+	s.section("a password")
 	w, _ = goldenPool(t, func(l *SessionLimits) {
 		l.Users = map[string]Verifier{"other": {}}
 	})
-	s.client(w.address).start(startupMessage("web", "orders")).hear("R").send(simple("")).hear("")
+	s.client(w.address).sendStartup(startupMessage("web", "orders")).readUntil("R").send(simpleQuery("")).readUntil("")
 	for _, body := range []string{"PLAIN\x00\x00\x00\x00\x00", "SCRAM-SHA-256\x00\x00\x00\x00\x07garbage"} {
-		s.client(w.address).start(startupMessage("web", "orders")).hear("R").send(typed('p', body)).hear("")
+		s.client(w.address).sendStartup(startupMessage("web", "orders")).readUntil("R").send(typedMessage('p', body)).readUntil("")
 	}
-	s.scene("homes")
-	homes := &told{}
-	homes.set(paused(1))
-	w, _ = goldenPool(t, nil, homes)
-	s.client(w.address).begin().send(simple("SELECT 1")).hear("Z")
-	w, _ = goldenPool(t, func(l *SessionLimits) { l.Pools[0].MaxPauseMillis = 60000 }, homes)
-	homes.front = w.front
-	c := s.client(w.address).begin().send(simple("SELECT 1")).hear("Z")
-	homes.set(session.Assignment{HasGroup: true, Undecided: true})
-	c.send(simple("SELECT 1")).hear("Z")
-	homes.set(at(1))
-	c.send(simple("/* cluster=2 */ SELECT 1")).hear("Z")
-	c.send(simple("SELECT 1")).hear("Z")
-	s.scene("the process is to end")
+	s.section("homes")
+	assignments := &told{}
+	assignments.set(paused(1))
+	w, _ = goldenPool(t, nil, assignments)
+	s.client(w.address).startSession().send(simpleQuery("SELECT 1")).readUntil("Z")
+	w, _ = goldenPool(t, func(l *SessionLimits) { l.Pools[0].MaxPauseMillis = 60000 }, assignments)
+	assignments.front = w.front
+	c := s.client(w.address).startSession().send(simpleQuery("SELECT 1")).readUntil("Z")
+	assignments.set(session.Assignment{HasGroup: true, Undecided: true})
+	c.send(simpleQuery("SELECT 1")).readUntil("Z")
+	assignments.set(at(1))
+	c.send(simpleQuery("/* cluster=2 */ SELECT 1")).readUntil("Z")
+	c.send(simpleQuery("SELECT 1")).readUntil("Z")
+	s.section("the process is to end")
 	w, _ = goldenPool(t, nil)
-	c = s.client(w.address).begin().send(simple("BEGIN")).hear("Z")
-	idle := s.client(w.address).begin()
+	c = s.client(w.address).startSession().send(simpleQuery("BEGIN")).readUntil("Z")
+	idle := s.client(w.address).startSession()
 	w.front.Drain()
-	idle.hear("")
-	s.client(w.address).hear("")
+	idle.readUntil("")
+	s.client(w.address).readUntil("")
 	w.front.Cut()
-	c.hear("")
-	s.scene("no list yet")
-	front := NewSessionFront(nil, unready(t), clock.System(), Platform, SessionLimits{Clients: 10, Message: 1 << 20, RetryAfterMillis: 50})
-	s.client(serve(t, front.Accept)).start(startupMessage("web", "orders")).hear("")
+	c.readUntil("")
+	s.section("no list yet")
+	front := NewSessionFront(nil, dispatcherWithoutEndpoints(t), clock.System(), Platform, SessionLimits{Clients: 10, Message: 1 << 20, RetryAfterMillis: 50})
+	s.client(startLoop(t, front.Accept)).sendStartup(startupMessage("web", "orders")).readUntil("")
 	s.compare("session-limits")
 }
--- a/internal/net/pg/late_test.go
+++ b/internal/net/pg/late_test.go
@@ -15,33 +15,35 @@
 	"ashstand/internal/sqlcomment"
 )
 
-// heard is what a pool told of late answers.
-type heard struct {
+// lateAnswer is one call of a pool's OnLateAnswer callback.
+type lateAnswer struct {
 	host  string
 	sent  float64
 	write bool
 	dispatch.Outcome
 }
 
-func (r *rig) listenLate() chan heard {
-	told := make(chan heard, 4)
+func (r *rig) listenLate() chan lateAnswer {
+	lateAnswers := make(chan lateAnswer, 4)
 	r.lateAnswerWindow = 30 * time.Second
-	r.OnLateAnswer(func(host string, sent float64, write bool, o dispatch.Outcome) { told <- heard{host, sent, write, o} })
-	return told
+	r.OnLateAnswer(func(host string, sent float64, write bool, o dispatch.Outcome) {
+		lateAnswers <- lateAnswer{host, sent, write, o}
+	})
+	return lateAnswers
 }
 
-// first waits for what is told.
-func first(t *testing.T, told chan heard) heard {
+// receiveLateAnswer waits for the next late answer.
+func receiveLateAnswer(t *testing.T, told chan lateAnswer) lateAnswer {
 	select {
 	case h := <-told:
 		return h
 	case <-time.After(10 * time.Second):
-		t.Fatal("nothing was told")
-		return heard{}
+		t.Fatal("no late answer was reported")
+		return lateAnswer{}
 	}
 }
 
-// stop holds the event loop until the returned function lets it go on; once it returns, the loop does nothing else.
+// stop blocks the event loop until the returned function is called. When stop returns, the loop is blocked.
 func (r *rig) stop(t *testing.T, l gnet.EventLoop) (resume func()) {
 	held, release := make(chan struct{}), make(chan struct{})
 	require.NoError(t, l.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
@@ -65,8 +67,8 @@
 	return &s
 }
 
-// says answers as a replica that stands at a position.
-func says(b *pgproto3.Backend, position string) {
+// sendReplicaAnswer sends the answer of a replica at this log position.
+func sendReplicaAnswer(b *pgproto3.Backend, position string) {
 	b.Send(&pgproto3.ParameterStatus{Name: Platform.Role, Value: Platform.Replica})
 	b.Send(&pgproto3.ParameterStatus{Name: Platform.Position, Value: position})
 	b.Send(&pgproto3.RowDescription{Fields: []pgproto3.FieldDescription{{Name: []byte("payload"), DataTypeOID: 17, Format: 1}}})
@@ -78,40 +80,42 @@
 
 const plain = "/* id=1,c=a,d=900,cluster=1 */ SELECT payload"
 
-// A host that was hung comes back as a replica and answers what it holds, in the moment in which the pooler gives that up.
-// The answer serves nobody. But it is told, so what it says of role and position has to be known.
-func TestAnAnswerThatCrossesAGiveUpIsHeard(t *testing.T) {
-	asked, ended := make(chan struct{}), make(chan struct{})
+// A host that hung comes back as a replica and answers a request at the moment at which the pooler cancels it.
+// No client gets the answer, but it must be reported as a late answer, since its role and log position are
+// still of use.
+func TestLateAnswerAfterCancellationIsReported(t *testing.T) {
+	queryReceived, ended := make(chan struct{}), make(chan struct{})
 	r := start(t, func(c net.Conn, b *pgproto3.Backend) {
 		welcome(b)
 		_, _ = b.Receive()
-		close(asked)
-		_, _ = b.Receive() // our end of sending: the attempt is given up
+		close(queryReceived)
+		_, _ = b.Receive() // the pooler shuts down its sending direction: the attempt is canceled
 		close(ended)
-		says(b, "999999999000")
+		sendReplicaAnswer(b, "999999999000")
 	})
 	told := r.listenLate()
 	ctx, giveUp := context.WithCancel(context.Background())
 	codes := make(chan dispatch.Code, 1)
 	c := r.acquired(t)
 	go func() { codes <- c.Exchange(ctx, parsedPlain(t), open).Code }()
-	<-asked
+	<-queryReceived
 	giveUp()
 	require.Equal(t, dispatch.Cancelled, <-codes)
 	<-ended
-	require.Equal(t, heard{"h", 1e12, false, dispatch.Outcome{Code: dispatch.OK, Execution: dispatch.Ran, Role: dispatch.Replica, Position: 999999999000}}, first(t, told))
+	require.Equal(t, lateAnswer{"h", 1e12, false, dispatch.Outcome{Code: dispatch.OK, Execution: dispatch.Ran, Role: dispatch.Replica, Position: 999999999000}}, receiveLateAnswer(t, told))
 	require.Eventually(t, func() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.openConns == 0 }, 10*time.Second, time.Millisecond)
 }
 
-// The same with the answer in the kernel already while the loop is busy, and the give-up first.
-func TestAnAnswerThatLaysUnreadAtAGiveUpIsHeard(t *testing.T) {
-	asked, answer, answered := make(chan struct{}), make(chan struct{}), make(chan struct{})
+// Like the test above, but the answer is already in the kernel's buffer while the loop is busy, and the attempt
+// is canceled before the loop reads it.
+func TestUnreadAnswerAtCancellationIsReported(t *testing.T) {
+	queryReceived, answer, answered := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	r := start(t, func(c net.Conn, b *pgproto3.Backend) {
 		welcome(b)
 		_, _ = b.Receive()
-		close(asked)
+		close(queryReceived)
 		<-answer
-		says(b, "999999999000")
+		sendReplicaAnswer(b, "999999999000")
 		close(answered)
 		_, _ = b.Receive()
 	})
@@ -120,22 +124,22 @@
 	codes := make(chan dispatch.Code, 1)
 	c := r.acquired(t)
 	go func() { codes <- c.Exchange(ctx, parsedPlain(t), open).Code }()
-	<-asked
+	<-queryReceived
 	resume := r.stop(t, c.gnetConn.EventLoop())
 	close(answer)
 	<-answered
 	giveUp()
 	require.Equal(t, dispatch.Cancelled, <-codes)
 	resume()
-	require.Equal(t, dispatch.Replica, first(t, told).Role)
+	require.Equal(t, dispatch.Replica, receiveLateAnswer(t, told).Role)
 }
 
-// In the other order the answer is that of its attempt, and told once.
-func TestAnAnswerBeforeAGiveUpIsServed(t *testing.T) {
+// If the answer comes before the cancellation, it is the reply of its attempt and is not reported as late.
+func TestAnswerBeforeCancellationIsServed(t *testing.T) {
 	r := start(t, func(c net.Conn, b *pgproto3.Backend) {
 		welcome(b)
 		_, _ = b.Receive()
-		says(b, "999999999000")
+		sendReplicaAnswer(b, "999999999000")
 		_, _ = b.Receive()
 	})
 	told := r.listenLate()
@@ -148,67 +152,68 @@
 	require.Len(t, r.hosts["h"].idle, 1)
 }
 
-// A place that others want is not kept for what a late answer may teach; a late answer that is spoilt teaches nothing.
-func TestAGivenUpConnectionKeepsNoPlaceThatIsWanted(t *testing.T) {
-	asked := make(chan struct{})
+// The connection of a canceled attempt must not wait for a late answer if the pool has no other free connection
+// slot.
+func TestCanceledConnectionFreesItsSlotUnderPressure(t *testing.T) {
+	queryReceived := make(chan struct{})
 	r := start(t, func(c net.Conn, b *pgproto3.Backend) {
 		welcome(b)
 		_, _ = b.Receive()
-		close(asked)
+		close(queryReceived)
 		_, _ = b.Receive()
 	})
 	told := r.listenLate()
 	r.SetLimits(PoolLimits{Connections: 1, ConnectTimeout: 300 * time.Millisecond, IdleTimeout: 15 * time.Second})
 	ctx, giveUp := context.WithCancel(context.Background())
-	go func() { <-asked; giveUp() }()
+	go func() { <-queryReceived; giveUp() }()
 	require.Equal(t, dispatch.Cancelled, r.acquired(t).Exchange(ctx, parsedPlain(t), open).Code)
 	require.Eventually(t, func() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.openConns == 0 }, 10*time.Second, time.Millisecond)
 	require.Empty(t, told)
 }
 
-// The age of data, drains and gone clients are asked for in the moment of the write. A loop that was busy in between must
-// not write what was allowed when it was queued.
-func TestTheGateIsAskedOnTheLoopAtTheWrite(t *testing.T) {
+// The gate checks the age of the data, drains and disconnected clients at the moment of the write. A loop that
+// was busy after a write was queued must not send it if the gate has closed since.
+func TestGateIsCheckedOnTheLoopAtTheWrite(t *testing.T) {
 	for _, probe := range []bool{false, true} {
-		var got atomic.Int32
+		var received atomic.Int32
 		r := start(t, func(c net.Conn, b *pgproto3.Backend) {
 			welcome(b)
 			for {
 				if _, err := b.Receive(); err != nil {
 					return
 				}
-				got.Add(1)
-				says(b, "1")
+				received.Add(1)
+				sendReplicaAnswer(b, "1")
 			}
 		})
 		c := r.acquired(t)
 		l := c.gnetConn.EventLoop()
 		c.release()
 		resume := r.stop(t, l)
-		var asks atomic.Int32
-		var closed atomic.Bool
+		var gateCalls atomic.Int32
+		var gateClosed atomic.Bool
 		codes := make(chan dispatch.Code, 1)
 		if probe {
 			go func() {
-				codes <- r.Probe(context.Background(), "h", func(string) bool { asks.Add(1); return !closed.Load() }).Code
+				codes <- r.Probe(context.Background(), "h", func(string) bool { gateCalls.Add(1); return !gateClosed.Load() }).Code
 			}()
 		} else {
 			go func() {
-				codes <- r.exchange(t, func() (float64, bool) { asks.Add(1); return 500, !closed.Load() }).Code
+				codes <- r.exchange(t, func() (float64, bool) { gateCalls.Add(1); return 500, !gateClosed.Load() }).Code
 			}()
 		}
-		// It waits for the loop now: the connection is out of the pool.
+		// The exchange now waits for the loop, and the connection is out of the pool.
 		require.Eventually(t, func() bool {
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			return c.pending != nil
 		}, 10*time.Second, time.Millisecond)
-		before := asks.Load()
-		closed.Store(true)
+		before := gateCalls.Load()
+		gateClosed.Store(true)
 		resume()
 		require.Equal(t, dispatch.NotSent, <-codes)
-		require.Greater(t, asks.Load(), before)
-		require.Zero(t, got.Load())
-		require.Len(t, r.hosts["h"].idle, 1, "the connection is as before")
+		require.Greater(t, gateCalls.Load(), before)
+		require.Zero(t, received.Load())
+		require.Len(t, r.hosts["h"].idle, 1, "the connection is idle again")
 	}
 }
--- a/internal/net/pg/message.go
+++ b/internal/net/pg/message.go
@@ -26,12 +26,12 @@
 
 // nextMessage splits the first message off b. ok is false while the message is incomplete. A message whose
 // length field exceeds maxBytes is an error.
-func nextMessage(b []byte, most int) (kind byte, body, tail []byte, ok bool, err error) {
+func nextMessage(b []byte, maxBytes int) (kind byte, body, tail []byte, ok bool, err error) {
 	if len(b) < 5 {
 		return 0, nil, b, false, nil
 	}
 	n := int(binary.BigEndian.Uint32(b[1:]))
-	if n < 4 || n > most {
+	if n < 4 || n > maxBytes {
 		return 0, nil, b, false, errMessageLength
 	}
 	if len(b) < n+1 {
@@ -43,9 +43,9 @@
 // appendMessage appends a message whose body fill writes.
 func appendMessage(b []byte, kind byte, fill func(b []byte) []byte) []byte {
 	b = append(b, kind, 0, 0, 0, 0)
-	at := len(b)
+	bodyStart := len(b)
 	b = fill(b)
-	binary.BigEndian.PutUint32(b[at-4:], uint32(len(b)-at+4))
+	binary.BigEndian.PutUint32(b[bodyStart-4:], uint32(len(b)-bodyStart+4))
 	return b
 }
 
--- a/internal/net/pg/message_test.go
+++ b/internal/net/pg/message_test.go
@@ -17,8 +17,8 @@
 	return appendReady(b)
 }
 
-// Guards against half an answer taken for a whole one: it ends with ReadyForQuery and nowhere before.
-func TestResponseIsWholeOrNothing(t *testing.T) {
+// Guards against a partial response taken for a complete one: it ends with ReadyForQuery and not before.
+func TestResponseIsParsedOnlyWhenComplete(t *testing.T) {
 	b := whole()
 	from := 0
 	for n := range len(b) {
@@ -50,15 +50,15 @@
 	}
 	r, err := parseResponse(appendReady(appendCommandComplete(nil, "SELECT 0")), Platform)
 	require.NoError(t, err)
-	require.Equal(t, dispatch.Malformed, r.code(), "no row is no answer")
+	require.Equal(t, dispatch.Malformed, r.code(), "a response without a row is malformed")
 	fatal := appendError(nil, "FATAL", "53300", "too many connections", "")
 	end, _, err := findResponseEnd(fatal, 0)
 	require.NoError(t, err)
 	require.Equal(t, len(fatal), end, "a fatal error needs no ReadyForQuery")
 }
 
-// Guards against noise that is taken for an answer, or for a part of one.
-func TestSpoiltAnswersAreNone(t *testing.T) {
+// Guards against invalid bytes that are taken for a response or a part of one.
+func TestMalformedResponsesAreRejected(t *testing.T) {
 	good := whole()
 	for name, b := range map[string][]byte{
 		"a value whose length does not fit": bytes.Replace(good, []byte{0, 0, 0, 2, 0, 'v'}, []byte{0, 0, 0, 9, 0, 'v'}, 1),
@@ -73,12 +73,12 @@
 		require.ErrorIs(t, err, errUnexpectedMessage, name)
 	}
 	_, _, err := findResponseEnd([]byte{'D', 0xb2, 0xd0, 0x5e, 0}, 0)
-	require.ErrorIs(t, err, errMessageLength, "3 GB are not waited for")
+	require.ErrorIs(t, err, errMessageLength, "the pooler does not wait for 3 GB")
 }
 
-// A refusal's D is when to come back, rounded up; nothing else has one.
+// The field D of a rejection is the Retry-After, rounded up. No other result has the field.
 func TestReplies(t *testing.T) {
-	for _, k := range []struct {
+	for _, test := range []struct {
 		result edge.Result
 		state  string
 		detail string
@@ -90,14 +90,15 @@
 		{edge.Result{Verdict: edge.Failed, Detail: "x"}, "08006", ""},
 		{edge.Result{Verdict: edge.Invalid, Detail: "x"}, "08P01", ""},
 	} {
-		_, body, rest, ok, err := nextMessage(encodeResult(&k.result), 1000)
+		_, body, rest, ok, err := nextMessage(encodeResult(&test.result), 1000)
 		require.True(t, ok && err == nil && len(rest) == 0)
 		state, _, _, detail := errorFields(body)
-		require.Equal(t, [2]string{k.state, k.detail}, [2]string{state, detail})
+		require.Equal(t, [2]string{test.state, test.detail}, [2]string{state, detail})
 	}
 }
 
-// FuzzResponse checks that no bytes of a db host panic, and that a response is found in one piece or in two.
+// FuzzResponse checks that no bytes of a database host cause a panic, and that the end of a response is found
+// whether it arrives in one piece or in two.
 func FuzzResponse(f *testing.F) {
 	f.Add(whole(), 9)
 	f.Add(appendError(nil, "FATAL", "53300", "x", "y"), 3)
@@ -116,7 +117,8 @@
 	})
 }
 
-// FuzzCommands checks that no bytes of a client panic, and that each command takes bytes or waits for more.
+// FuzzCommands checks that no bytes of a client cause a panic, and that each command consumes bytes or is
+// incomplete.
 func FuzzCommands(f *testing.F) {
 	good := appendQuery(startupMessage("web", "orders"), func(b []byte) []byte { return append(b, "SELECT 1"...) })
 	f.Add(good)
--- a/internal/net/pg/response.go
+++ b/internal/net/pg/response.go
@@ -19,17 +19,17 @@
 }
 
 // findResponseEnd returns the length of the first complete response in b, or 0 while there is none. The search
-// starts at from; at is the position from which the next call can continue.
-func findResponseEnd(b []byte, from int) (end, at int, err error) {
-	at = from
+// starts at from; next is the position from which the next call can continue.
+func findResponseEnd(b []byte, from int) (end, next int, err error) {
+	next = from
 	for {
-		kind, body, rest, ok, err := nextMessage(b[at:], maxServerMessageBytes)
+		kind, body, rest, ok, err := nextMessage(b[next:], maxServerMessageBytes)
 		if err != nil || !ok {
-			return 0, at, err
+			return 0, next, err
 		}
-		at = len(b) - len(rest)
+		next = len(b) - len(rest)
 		if kind == serverReadyForQuery || kind == serverError && isFatal(body) {
-			return at, at, nil
+			return next, next, nil
 		}
 	}
 }
--- a/internal/net/pg/room_test.go
+++ b/internal/net/pg/room_test.go
@@ -10,8 +10,8 @@
 	"ashstand/internal/dispatch"
 )
 
-// A probe for which this process has no connection left says nothing of the host.
-func TestProbeWithoutRoomSaysNothingOfTheHost(t *testing.T) {
+// A probe that can't get a connection because the pool is full must not count against the host.
+func TestProbeWithoutFreeConnectionIsNotSent(t *testing.T) {
 	p := NewPool(nil, clock.System(), Platform, PoolLimits{})
 	p.SetAddress("h", "127.0.0.1:1")
 	require.Equal(t, dispatch.NotSent, p.Probe(context.Background(), "h", func(string) bool { return true }).Code)
--- a/internal/net/pg/tenant_stats.go
+++ b/internal/net/pg/tenant_stats.go
@@ -36,14 +36,14 @@
 }
 
 // Describe sets the group and the state from the database's assignment.
-func (s *TenantStats) Describe(of session.Assignment) {
-	if s.State = "open"; of.Paused {
-		s.State, s.PausedSince = "paused", of.PausedSince
-	} else if of.Undecided {
+func (s *TenantStats) Describe(assignment session.Assignment) {
+	if s.State = "open"; assignment.Paused {
+		s.State, s.PausedSince = "paused", assignment.PausedSince
+	} else if assignment.Undecided {
 		s.State = "fenced"
 	}
-	if s.Fenced = of.Undecided; of.HasGroup && !of.Undecided {
-		s.Group = &of.Group
+	if s.Fenced = assignment.Undecided; assignment.HasGroup && !assignment.Undecided {
+		s.Group = &assignment.Group
 	}
 }
 
@@ -64,7 +64,7 @@
 }
 
 // collectTenantStats implements TenantStats on the event loop.
-func (f *SessionFront) collectTenantStats() (all []TenantStats) {
+func (f *SessionFront) collectTenantStats() (stats []TenantStats) {
 	now := f.clock.Now()
 	for _, t := range f.tenancy.tenants.All() {
 		s := TenantStats{
@@ -76,24 +76,24 @@
 			Rejected: t.Rejected,
 		}
 		s.Describe(f.tenancy.assignments.Assignment(t.Database, now))
-		all = append(all, s)
+		stats = append(stats, s)
 	}
-	slices.SortFunc(all, func(a, b TenantStats) int { return strings.Compare(a.Database, b.Database) })
+	slices.SortFunc(stats, func(a, b TenantStats) int { return strings.Compare(a.Database, b.Database) })
 	index := map[string]int{}
-	for i := range all {
-		index[all[i].Database] = i
+	for i := range stats {
+		index[stats[i].Database] = i
 	}
 	for c := range f.clients.all {
 		if c.tenancy.tenant != nil && c.server != nil {
-			all[index[c.tenancy.tenant.Database]].addLinked(c)
+			stats[index[c.tenancy.tenant.Database]].addLinked(c)
 		}
 	}
-	for i := range all {
-		slices.SortFunc(all[i].Sticky, func(a, b StickyStats) int {
+	for i := range stats {
+		slices.SortFunc(stats[i].Sticky, func(a, b StickyStats) int {
 			return strings.Compare(a.Pool+"\x00"+a.Host+"\x00"+a.Cause, b.Pool+"\x00"+b.Host+"\x00"+b.Cause)
 		})
 	}
-	return all
+	return stats
 }
 
 // addLinked adds a client that is linked to a server connection to the statistics.
--- a/internal/net/pg/tenants.go
+++ b/internal/net/pg/tenants.go
@@ -43,8 +43,8 @@
 
 // SetAssignments sets the source of assignments. It must be called before the first client connects. Without
 // it, each pool's own group applies.
-func (f *SessionFront) SetAssignments(h Assignments) {
-	f.tenancy.assignments, f.tenancy.tenants, f.tenancy.releaseScheduled = h, session.NewTenants(), map[*session.Tenant]bool{}
+func (f *SessionFront) SetAssignments(assignments Assignments) {
+	f.tenancy.assignments, f.tenancy.tenants, f.tenancy.releaseScheduled = assignments, session.NewTenants(), map[*session.Tenant]bool{}
 }
 
 // ReassignTenants applies changed assignments: transactions of which nothing was sent are routed again, queued
@@ -93,11 +93,11 @@
 // releaseQueued resumes the queued transactions of a tenant that may proceed.
 func (f *SessionFront) releaseQueued(t *session.Tenant) {
 	for range maxResumedPerTurn {
-		x := f.tenancy.tenants.Next(t, f.tenancy.assignments.Assignment(t.Database, f.clock.Now()))
-		if x == nil {
+		queued := f.tenancy.tenants.Next(t, f.tenancy.assignments.Assignment(t.Database, f.clock.Now()))
+		if queued == nil {
 			return
 		}
-		x.Owner.(*sessionClient).resumeQueued()
+		queued.Owner.(*sessionClient).resumeQueued()
 	}
 	f.scheduleRelease(t)
 }
@@ -118,12 +118,12 @@
 // scheduleExpiry sets the timer that rejects queued transactions at their deadline. A periodic sweep would be
 // too late for their clients.
 func (f *SessionFront) scheduleExpiry() {
-	at, ok := f.tenancy.tenants.NextDeadline()
-	if !ok || f.tenancy.nextExpiry > 0 && f.tenancy.nextExpiry <= at {
+	deadline, ok := f.tenancy.tenants.NextDeadline()
+	if !ok || f.tenancy.nextExpiry > 0 && f.tenancy.nextExpiry <= deadline {
 		return
 	}
-	f.tenancy.nextExpiry = at
-	wait := max(time.Millisecond, clock.Duration(at-f.clock.Now()))
+	f.tenancy.nextExpiry = deadline
+	wait := max(time.Millisecond, clock.Duration(deadline-f.clock.Now()))
 	if f.tenancy.expiryTimer == nil {
 		f.tenancy.expiryTimer = time.AfterFunc(wait, func() { f.onLoop(f.expireQueued) })
 	} else {
@@ -135,11 +135,11 @@
 	f.tenancy.nextExpiry = 0
 	now := f.clock.Now()
 	for range maxResumedPerTurn {
-		x, err := f.tenancy.tenants.NextExpired(now)
-		if x == nil {
+		expired, err := f.tenancy.tenants.NextExpired(now)
+		if expired == nil {
 			break
 		}
-		c := x.Owner.(*sessionClient)
+		c := expired.Owner.(*sessionClient)
 		c.rejectRouting(err.Error(), f.limits.Load().RetryAfterMillis)
 		c.resume()
 	}
@@ -165,11 +165,11 @@
 	if f.tenancy.assignments == nil {
 		return false
 	}
-	h := f.tenancy.assignments.Assignment(c.identity.database, f.clock.Now())
-	if h.Paused || h.Undecided {
+	assignment := f.tenancy.assignments.Assignment(c.identity.database, f.clock.Now())
+	if assignment.Paused || assignment.Undecided {
 		return false
 	}
-	group, err := h.GroupFor(c.identity.database, &c.routing.route)
+	group, err := assignment.GroupFor(c.identity.database, &c.routing.route)
 	return err != nil || group != c.routing.request.Group
 }
 
@@ -191,9 +191,9 @@
 func (c *sessionClient) checkRetainedServer(kind byte) (disposition, gnet.Action) {
 	f := c.front
 	if c.isAssignmentMoved() {
-		act := c.abandonMovedHost(c.server)
+		action := c.abandonMovedHost(c.server)
 		if c.disconnected {
-			return messageAnswered, act
+			return messageAnswered, action
 		}
 		return messageLinked, gnet.None
 	}
@@ -203,9 +203,9 @@
 		c.tenancy.entry.Deadline = now + c.pool.WaitTimeoutMillis
 	}
 	c.tenancy.entry.Bytes, c.tenancy.entry.MaxInFlight = c.waitingBytes(), c.pool.Sizes.MaxConnections
-	held, err := f.tenancy.tenants.Admit(now, c.tenancy.tenant, f.tenancy.assignments.Assignment(c.identity.database, now), &c.tenancy.entry, f.queueBounds(c.pool))
+	queued, err := f.tenancy.tenants.Admit(now, c.tenancy.tenant, f.tenancy.assignments.Assignment(c.identity.database, now), &c.tenancy.entry, f.queueBounds(c.pool))
 	switch {
-	case held:
+	case queued:
 		c.input.pendingKind, c.phase = kind, phaseTenantPaused
 		f.scheduleExpiry()
 		return messageWaiting, gnet.None
@@ -257,28 +257,28 @@
 	f := c.front
 	if f.tenancy.assignments != nil {
 		now := f.clock.Now()
-		h := f.tenancy.assignments.Assignment(c.identity.database, now)
+		assignment := f.tenancy.assignments.Assignment(c.identity.database, now)
 		c.tenancy.entry.Bytes, c.tenancy.entry.MaxInFlight = c.waitingBytes(), c.pool.Sizes.MaxConnections
-		held, refused := f.tenancy.tenants.Admit(now, c.tenancy.tenant, h, &c.tenancy.entry, f.queueBounds(c.pool))
-		if held {
+		queued, rejection := f.tenancy.tenants.Admit(now, c.tenancy.tenant, assignment, &c.tenancy.entry, f.queueBounds(c.pool))
+		if queued {
 			c.phase = phaseTenantPaused
 			f.scheduleExpiry()
 			return
 		}
-		if refused != nil {
-			c.rejectRouting(refused.Error(), f.limits.Load().RetryAfterMillis)
+		if rejection != nil {
+			c.rejectRouting(rejection.Error(), f.limits.Load().RetryAfterMillis)
 			return
 		}
-		group, err := h.GroupFor(c.identity.database, &c.routing.route)
+		group, err := assignment.GroupFor(c.identity.database, &c.routing.route)
 		if err != nil {
 			c.finishRelease()
 			c.reject(sqlStateProtocolViolation, err.Error(), "")
 			c.consumeRejected()
 			return
 		}
-		c.tenancy.assignment, c.routing.request.Group = h, group
+		c.tenancy.assignment, c.routing.request.Group = assignment, group
 		c.discardRecorded()
-		c.record.active = h.HasGroup && len(c.record.replay) == 0
+		c.record.active = assignment.HasGroup && len(c.record.replay) == 0
 	}
 	call, err := f.dispatcher.Begin(c.routing.request)
 	if err != nil {
