--- a/internal/net/pg/flood_test.go
+++ b/internal/net/pg/flood_test.go
@@ -100,7 +100,7 @@
 		slices.Sort(latencies)
 		return latencies
 	}
-	alone := measureLatencies()
+	baseline := measureLatencies()
 	flood := d.call(t, "")
 	require.Equal(t, []string{"empty"}, errorsOf(t, flood, 1))
 	var b []byte
@@ -122,7 +122,7 @@
 	flood.Close()
 	all.Wait()
 	t.Logf("an answer takes %v in the median and %v at the most alone, %v and %v beside %d MB sent at full speed",
-		alone[50], alone[99], flooded[50], flooded[99], sent>>20)
+		baseline[50], baseline[99], flooded[50], flooded[99], sent>>20)
 	require.Greater(t, sent, 1<<20, "the flood did not send enough")
 	require.Less(t, flooded[50], 50*time.Millisecond)
 }
--- a/internal/net/pg/front.go
+++ b/internal/net/pg/front.go
@@ -19,8 +19,8 @@
 const (
 	// maxUnreadBytes is the least read-ahead limit of a client: one query, and 64 KiB sent ahead of its answer.
 	maxUnreadBytes = maxQueryBytes + 64<<10
-	// readAheadFraction: one client may send ahead one such part of the limit for all clients, if that exceeds
-	// maxUnreadBytes.
+	// readAheadFraction is the divisor that yields one client's read-ahead limit from the limit for all clients.
+	// The limit of one client is never less than maxUnreadBytes.
 	readAheadFraction = 8
 	// maxUnsentMillis is how long a client may leave its answer in the pooler's send buffer.
 	maxUnsentMillis = 20e3
@@ -44,7 +44,7 @@
 	// replyBatchBytes is the size from which immediate replies that were gathered are written in one system
 	// call.
 	replyBatchBytes = 16 << 10
-	// pressureFraction: the table is under pressure if more than one in so many connections is open.
+	// pressureFraction is the divisor of FrontLimits.Clients above whose result the table is under pressure.
 	pressureFraction = 5
 	// maxShutdownReadBytes is how much of its input is read when a connection is rejected right after its
 	// accept.
--- a/internal/net/pg/front_test.go
+++ b/internal/net/pg/front_test.go
@@ -239,8 +239,8 @@
 func TestShutdownAnswersEachRequest(t *testing.T) {
 	d := listen(t, FrontLimits{Clients: 16, Bytes: 1 << 20})
 	text := func(id string) string { return "/* id=" + id + ",c=report,d=20000,cluster=1 */ SELECT 'k'" }
-	served, fresh, partial, busy := d.call(t, ""), d.call(t), d.call(t, ""), d.call(t, text("a"), text("b"), text("c"))
-	_, err := fresh.Write(startupMessage("web", "orders"))
+	served, withoutRequest, partial, busy := d.call(t, ""), d.call(t), d.call(t, ""), d.call(t, text("a"), text("b"), text("c"))
+	_, err := withoutRequest.Write(startupMessage("web", "orders"))
 	require.NoError(t, err)
 	errorsOf(t, served, 1)
 	errorsOf(t, partial, 1)
@@ -258,9 +258,9 @@
 	_, err = io.ReadAll(served)
 	require.NoError(t, err, "closed between requests")
 	require.False(t, d.Idle(), "half a request counts as one that is arriving")
-	_, err = fresh.Write(appendQuery(nil, func(b []byte) []byte { return b }))
+	_, err = withoutRequest.Write(appendQuery(nil, func(b []byte) []byte { return b }))
 	require.NoError(t, err)
-	require.Equal(t, []string{"empty"}, errorsOf(t, fresh, 0), "its first request is answered, then it is closed")
+	require.Equal(t, []string{"empty"}, errorsOf(t, withoutRequest, 0), "its first request is answered, then it is closed")
 	d.Cut()
 	require.Equal(t, []string{"FATAL 57P03 "}, errorsOf(t, partial, 0))
 	require.Equal(t, []string{"ERROR 57P01 ", "ERROR 57P03 ", "FATAL 57P03 "}, errorsOf(t, busy, 0))
--- a/internal/net/pg/golden_test.go
+++ b/internal/net/pg/golden_test.go
@@ -38,7 +38,7 @@
 func (s *transcript) section(name string) { s.lines = append(s.lines, "= "+name) }
 
 // add records messages. Each has a kind and a length, except that the first one has no kind if untyped is set.
-func (s *transcript) add(mark string, b []byte, untyped bool) {
+func (s *transcript) add(direction string, b []byte, untyped bool) {
 	for len(b) > 0 {
 		n := len(b)
 		switch {
@@ -47,7 +47,7 @@
 		case n >= 5:
 			n = min(n, max(5, int(binary.BigEndian.Uint32(b[1:]))+1))
 		}
-		s.lines = append(s.lines, mark+" "+strconv.Quote(string(b[:n])))
+		s.lines = append(s.lines, direction+" "+strconv.Quote(string(b[:n])))
 		b, untyped = b[n:], false
 	}
 }
@@ -183,10 +183,10 @@
 	}
 	s.section("start-up, and what needs no host")
 	c := s.client(d.address).sendStartup(untypedHeader(8, codeSSL))
-	one := make([]byte, 1)
-	_, err := io.ReadFull(c.conn, one)
+	encryptionReply := make([]byte, 1)
+	_, err := io.ReadFull(c.conn, encryptionReply)
 	require.NoError(t, err)
-	s.add("<", one, false)
+	s.add("<", encryptionReply, false)
 	c.startSession()
 	for _, m := range [][]byte{
 		simpleQuery(""), simpleQuery(" ; "), simpleQuery("SET a TO 1"), simpleQuery("RESET a"), simpleQuery("DISCARD ALL"), typedMessage('S', ""),
@@ -445,11 +445,11 @@
 }
 
 // goldenPool starts a session front whose transactions go to a scripted host, over one connection.
-func goldenPool(t *testing.T, change func(l *SessionLimits), assignments ...Assignments) (*pooled, *scriptedHost) {
+func goldenPool(t *testing.T, adjust func(l *SessionLimits), assignments ...Assignments) (*pooled, *scriptedHost) {
 	w := pool(t, func(l *SessionLimits) {
 		l.Pools[0].Sizes.MaxConnections, l.Pools[0].MaxSticky, l.Pools[0].Database = 1, 0, "orders"
-		if change != nil {
-			change(l)
+		if adjust != nil {
+			adjust(l)
 		}
 	}, assignments...)
 	h := newScriptedHost(t)
@@ -463,10 +463,10 @@
 	w, h := goldenPool(t, nil)
 	s.section("start-up, and what needs no host")
 	c := s.client(w.address).sendStartup(untypedHeader(8, codeSSL))
-	one := make([]byte, 1)
-	_, err := io.ReadFull(c.conn, one)
+	encryptionReply := make([]byte, 1)
+	_, err := io.ReadFull(c.conn, encryptionReply)
 	require.NoError(t, err)
-	s.add("<", one, false)
+	s.add("<", encryptionReply, false)
 	c.startSession()
 	for _, m := range [][]byte{simpleQuery(""), simpleQuery("DEALLOCATE ALL"), simpleQuery("DISCARD ALL"), typedMessage('S', "")} {
 		c.send(m).readUntil("Z")
--- a/internal/net/pg/late_test.go
+++ b/internal/net/pg/late_test.go
@@ -33,9 +33,9 @@
 }
 
 // receiveLateAnswer waits for the next late answer.
-func receiveLateAnswer(t *testing.T, told chan lateAnswer) lateAnswer {
+func receiveLateAnswer(t *testing.T, lateAnswers chan lateAnswer) lateAnswer {
 	select {
-	case h := <-told:
+	case h := <-lateAnswers:
 		return h
 	case <-time.After(10 * time.Second):
 		t.Fatal("no late answer was reported")
@@ -81,8 +81,8 @@
 const plain = "/* id=1,c=a,d=900,cluster=1 */ SELECT payload"
 
 // A host that hung comes back as a replica and answers a request at the moment at which the pooler cancels it.
-// No client gets the answer, but it must be reported as a late answer, since its role and log position are
-// still of use.
+// No client gets the answer, but it must be reported as a late answer, so that the role and
+// the log position in it are known.
 func TestLateAnswerAfterCancellationIsReported(t *testing.T) {
 	queryReceived, ended := make(chan struct{}), make(chan struct{})
 	r := start(t, func(c net.Conn, b *pgproto3.Backend) {
@@ -93,16 +93,16 @@
 		close(ended)
 		sendReplicaAnswer(b, "999999999000")
 	})
-	told := r.listenLate()
-	ctx, giveUp := context.WithCancel(context.Background())
+	lateAnswers := r.listenLate()
+	ctx, cancelAttempt := context.WithCancel(context.Background())
 	codes := make(chan dispatch.Code, 1)
 	c := r.acquired(t)
 	go func() { codes <- c.Exchange(ctx, parsedPlain(t), open).Code }()
 	<-queryReceived
-	giveUp()
+	cancelAttempt()
 	require.Equal(t, dispatch.Cancelled, <-codes)
 	<-ended
-	require.Equal(t, lateAnswer{"h", 1e12, false, dispatch.Outcome{Code: dispatch.OK, Execution: dispatch.Ran, Role: dispatch.Replica, Position: 999999999000}}, receiveLateAnswer(t, told))
+	require.Equal(t, lateAnswer{"h", 1e12, false, dispatch.Outcome{Code: dispatch.OK, Execution: dispatch.Ran, Role: dispatch.Replica, Position: 999999999000}}, receiveLateAnswer(t, lateAnswers))
 	require.Eventually(t, func() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.openConns == 0 }, 10*time.Second, time.Millisecond)
 }
 
@@ -119,8 +119,8 @@
 		close(answered)
 		_, _ = b.Receive()
 	})
-	told := r.listenLate()
-	ctx, giveUp := context.WithCancel(context.Background())
+	lateAnswers := r.listenLate()
+	ctx, cancelAttempt := context.WithCancel(context.Background())
 	codes := make(chan dispatch.Code, 1)
 	c := r.acquired(t)
 	go func() { codes <- c.Exchange(ctx, parsedPlain(t), open).Code }()
@@ -128,10 +128,10 @@
 	resume := r.stop(t, c.gnetConn.EventLoop())
 	close(answer)
 	<-answered
-	giveUp()
+	cancelAttempt()
 	require.Equal(t, dispatch.Cancelled, <-codes)
 	resume()
-	require.Equal(t, dispatch.Replica, receiveLateAnswer(t, told).Role)
+	require.Equal(t, dispatch.Replica, receiveLateAnswer(t, lateAnswers).Role)
 }
 
 // If the answer comes before the cancellation, it is the reply of its attempt and is not reported as late.
@@ -142,13 +142,13 @@
 		sendReplicaAnswer(b, "999999999000")
 		_, _ = b.Receive()
 	})
-	told := r.listenLate()
-	ctx, giveUp := context.WithCancel(context.Background())
+	lateAnswers := r.listenLate()
+	ctx, cancelAttempt := context.WithCancel(context.Background())
 	reply := r.acquired(t).Exchange(ctx, parsedPlain(t), open)
-	giveUp()
+	cancelAttempt()
 	require.Equal(t, dispatch.OK, reply.Code)
 	require.Equal(t, dispatch.Replica, reply.Role)
-	require.Empty(t, told)
+	require.Empty(t, lateAnswers)
 	require.Len(t, r.hosts["h"].idle, 1)
 }
 
@@ -162,13 +162,13 @@
 		close(queryReceived)
 		_, _ = b.Receive()
 	})
-	told := r.listenLate()
+	lateAnswers := r.listenLate()
 	r.SetLimits(PoolLimits{Connections: 1, ConnectTimeout: 300 * time.Millisecond, IdleTimeout: 15 * time.Second})
-	ctx, giveUp := context.WithCancel(context.Background())
-	go func() { <-queryReceived; giveUp() }()
+	ctx, cancelAttempt := context.WithCancel(context.Background())
+	go func() { <-queryReceived; cancelAttempt() }()
 	require.Equal(t, dispatch.Cancelled, r.acquired(t).Exchange(ctx, parsedPlain(t), open).Code)
 	require.Eventually(t, func() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.openConns == 0 }, 10*time.Second, time.Millisecond)
-	require.Empty(t, told)
+	require.Empty(t, lateAnswers)
 }
 
 // The gate checks the age of the data, drains and disconnected clients at the moment of the write. A loop that
--- a/internal/net/pg/tenants.go
+++ b/internal/net/pg/tenants.go
@@ -103,7 +103,7 @@
 }
 
 // scheduleRelease calls releaseQueued in a later task of the event loop, because the caller may be in the
-// middle of a state change.
+// middle of another operation.
 func (f *SessionFront) scheduleRelease(t *session.Tenant) {
 	if f.tenancy.releaseScheduled[t] {
 		return
