--- a/internal/net/pg/tenant_stats.go
+++ b/internal/net/pg/tenant_stats.go
@@ -8,26 +8,26 @@
 	"ashstand/internal/session"
 )
 
-// stickyBySessionMode is the cause that is reported of a session that is bound by its pool's mode.
+// stickyBySessionMode is the cause reported for a session that is sticky because of its pool's mode.
 const stickyBySessionMode = "session mode"
 
-// TenantStats are of one database that has sessions here.
+// TenantStats are the statistics of one database that has sessions at this pooler.
 type TenantStats struct {
 	Database    string        `json:"database"`
-	Group       *uint64       `json:"home,omitempty"` // nil: each pool's own group, or none that is agreed on
+	Group       *uint64       `json:"home,omitempty"` // nil if each pool's own group applies, or if no group is agreed on
 	Fenced      bool          `json:"fenced,omitempty"`
 	State       string        `json:"state"` // open, paused or fenced
 	PausedSince float64       `json:"paused_since,omitempty"`
 	Sessions    int           `json:"sessions"`
-	Running     int           `json:"running"` // transactions
+	Running     int           `json:"running"` // running transactions
 	Queued      int           `json:"held"`
-	InFlight    int           `json:"going"` // let go, and not at a host yet
+	InFlight    int           `json:"going"` // released transactions that have not reached a host yet
 	Released    uint64        `json:"let_go"`
 	Rejected    uint64        `json:"refused"`
 	Sticky      []StickyStats `json:"bound,omitempty"`
 }
 
-// StickyStats are the sessions of a pool that are bound to connections of one host.
+// StickyStats counts the sessions of a pool that are sticky to connections of one host for the same cause.
 type StickyStats struct {
 	Pool     string `json:"pool"`
 	Host     string `json:"host"`
@@ -35,19 +35,20 @@
 	Sessions int    `json:"sessions"`
 }
 
-// Describe sets the fields that say where the database is.
-func (s *TenantStats) Describe(of session.Assignment) {
-	if s.State = "open"; of.Paused {
-		s.State, s.PausedSince = "paused", of.PausedSince
-	} else if of.Undecided {
+// Describe sets the group and the state from the database's assignment.
+func (s *TenantStats) Describe(assignment session.Assignment) {
+	if s.State = "open"; assignment.Paused {
+		s.State, s.PausedSince = "paused", assignment.PausedSince
+	} else if assignment.Undecided {
 		s.State = "fenced"
 	}
-	if s.Fenced = of.Undecided; of.HasGroup && !of.Undecided {
-		s.Group = &of.Group
+	if s.Fenced = assignment.Undecided; assignment.HasGroup && !assignment.Undecided {
+		s.Group = &assignment.Group
 	}
 }
 
-// TenantStats are the databases that have sessions here.
+// TenantStats returns the statistics of all databases that have sessions at this pooler. It returns nil if
+// there are no assignments, or if the event loop does not respond within a second.
 func (f *SessionFront) TenantStats() []TenantStats {
 	if f.tenancy.assignments == nil || f.eventLoop.Load() == nil {
 		return nil
@@ -62,8 +63,8 @@
 	}
 }
 
-// collectTenantStats is TenantStats on the event loop.
-func (f *SessionFront) collectTenantStats() (all []TenantStats) {
+// collectTenantStats implements TenantStats on the event loop.
+func (f *SessionFront) collectTenantStats() (stats []TenantStats) {
 	now := f.clock.Now()
 	for _, t := range f.tenancy.tenants.All() {
 		s := TenantStats{
@@ -75,27 +76,27 @@
 			Rejected: t.Rejected,
 		}
 		s.Describe(f.tenancy.assignments.Assignment(t.Database, now))
-		all = append(all, s)
+		stats = append(stats, s)
 	}
-	slices.SortFunc(all, func(a, b TenantStats) int { return strings.Compare(a.Database, b.Database) })
+	slices.SortFunc(stats, func(a, b TenantStats) int { return strings.Compare(a.Database, b.Database) })
 	index := map[string]int{}
-	for i := range all {
-		index[all[i].Database] = i
+	for i := range stats {
+		index[stats[i].Database] = i
 	}
 	for c := range f.clients.all {
 		if c.tenancy.tenant != nil && c.server != nil {
-			all[index[c.tenancy.tenant.Database]].addLinked(c)
+			stats[index[c.tenancy.tenant.Database]].addLinked(c)
 		}
 	}
-	for i := range all {
-		slices.SortFunc(all[i].Sticky, func(a, b StickyStats) int {
+	for i := range stats {
+		slices.SortFunc(stats[i].Sticky, func(a, b StickyStats) int {
 			return strings.Compare(a.Pool+"\x00"+a.Host+"\x00"+a.Cause, b.Pool+"\x00"+b.Host+"\x00"+b.Cause)
 		})
 	}
-	return all
+	return stats
 }
 
-// addLinked counts a client that is linked to a server connection.
+// addLinked adds a client that is linked to a server connection to the statistics.
 func (s *TenantStats) addLinked(c *sessionClient) {
 	if c.routing.call != nil || !c.pipeline.Idle() {
 		s.Running++
