--- a/internal/net/pg/pool.go
+++ b/internal/net/pg/pool.go
@@ -9,14 +9,18 @@
 	"ashstand/internal/net/loop"
 )
 
-// Names are the user, database, parameters and values that the operators chose for the wire.
+// Names are the configurable names that the pooler uses when it talks to database hosts.
 type Names struct {
-	User, Database         string
-	Role, Position, Gauges string // parameters that a db host reports
-	Primary, Replica       string // values of Role
+	// User and Database go into the startup message.
+	User, Database string
+	// Role, Position and Gauges are the parameters in which a host reports its role, its log position and its
+	// load.
+	Role, Position, Gauges string
+	// Primary and Replica are the values of the Role parameter.
+	Primary, Replica string
 }
 
-// Platform holds the names that the platform uses.
+// Platform holds the names that the database platform uses.
 var Platform = Names{
 	User:     "web",
 	Database: "orders",
@@ -27,60 +31,69 @@
 	Replica:  "replica",
 }
 
-// PoolLimits bound the pool.
+// PoolLimits are the limits of a Pool.
 type PoolLimits struct {
-	Connections    int           // that may be open or being opened, to all hosts together
-	Bytes          int           // of answers that are not whole yet, on all connections together
-	ConnectTimeout time.Duration // a connection not up by then counts as none
-	IdleTimeout    time.Duration // a db host closes a connection that was idle for so long
+	// Connections is the maximum number of connections to all hosts together, including those being opened.
+	Connections int
+	// Bytes is the maximum size of incomplete responses on all connections together.
+	Bytes int
+	// ConnectTimeout is the time within which a new connection must be ready for a query; otherwise the dial
+	// fails.
+	ConnectTimeout time.Duration
+	// IdleTimeout is the time after which a database host closes an idle connection.
+	IdleTimeout time.Duration
 }
 
-// Pool holds the connections to db hosts for requests in statement mode. Its methods may be called from any goroutine.
+// Pool holds the connections to database hosts for requests in statement mode. Its methods may be called from
+// any goroutine.
 type Pool struct {
-	// Listed says whether anything new, a handshake included, may go to a host. It is to be set before the first use;
-	// nil: to every host.
+	// Listed reports whether new work, handshakes included, may be sent to a host. It must be set before the
+	// pool is first used; nil permits every host.
 	Listed func(name string) bool
-	// Handshaking is called before each handshake with a host. It is to be set before the first use; nil: nobody is told.
+	// Handshaking, if not nil, is called before each handshake with a host. It must be set before the pool is
+	// first used.
 	Handshaking func(name string)
 
 	engine *loop.Engine
 	clock  clock.Clock
 	names  Names
 
-	onLateAnswer      LateAnswerFunc // nil: nobody
-	lateAnswerWindow  time.Duration  // the constant, but in tests
+	onLateAnswer      LateAnswerFunc // may be nil
+	lateAnswerWindow  time.Duration  // the constant of that name, unless a test overrides it
 	probeRejectionLog loop.ThrottledLog
-	unreadBytes       int // of answers that are not complete yet; the event loop owns it
+	unreadBytes       int // total size of incomplete responses; owned by the event loop
 
-	// mu guards what follows, and the idle connections and abandoned dials of all hosts. It may be taken while a
-	// connection's mutex is held, not the other way round.
+	// mu guards the fields below, and the idle connections and abandoned dials of all hosts. It may be locked
+	// while a connection's mutex is held, but not the other way round.
 	mu        sync.Mutex
 	limits    PoolLimits
 	hosts     map[string]*host
-	openConns int // that are open or being opened
+	openConns int // includes connections being opened
 	staleness staleness
 }
 
-// LateAnswerFunc takes an answer whose attempt was given up in the same moment: it serves nobody, but it teaches. sent is when
-// its request was written. It is called on a goroutine of its own.
+// LateAnswerFunc receives an answer that arrived after its attempt was abandoned. No client gets this answer,
+// but the outcome o still tells something about the host. sent is when the request was written. The function
+// is called on a goroutine of its own.
 type LateAnswerFunc func(host string, sent float64, write bool, o dispatch.Outcome)
 
-// lateAnswerWindow is how long a connection whose request was given up is listened to. The platform counts as known what an answer
-// tells 100 ms after it was written, also where the pooler gave it up meanwhile.
+// lateAnswerWindow is how long the pooler keeps reading from a connection after abandoning its request. The
+// platform expects the pooler to know what an answer says 100 ms after the host wrote it, even if the request
+// was abandoned in the meantime.
 const lateAnswerWindow = 100 * time.Millisecond
 
-// maxWriteTime is how long a request may take from its first byte to its last, less than the 150 ms by which a host may be told
-// of more time than its client has left.
+// maxWriteTime is the time limit from writing the first byte of a request to writing its last. It is below
+// 150 ms, by which the time limit that a host is told may exceed the time that its client has left.
 const maxWriteTime = 120 * time.Millisecond
 
-// host is a db host at one address: another address is another host.
+// host is a database host at one address. A host that moves to another address gets a new value.
 type host struct {
 	address       string
-	idle          []*conn        // the one used last is at the end
-	abandonedDial *abandonedDial // nil: there is none
+	idle          []*conn        // the most recently used connection is last
+	abandonedDial *abandonedDial // nil if there is none
 }
 
-// abandonedDial is one that goes on though its attempt was given up.
+// abandonedDial is a dial that continues although its attempt was abandoned.
 type abandonedDial struct{ cancel func() }
 
 // NewPool returns a pool whose connections are served by engine.
@@ -91,17 +104,18 @@
 	}
 }
 
-// OnLateAnswer has late answers given to late. It is to be set before the first request.
-func (p *Pool) OnLateAnswer(late LateAnswerFunc) { p.onLateAnswer = late }
+// OnLateAnswer sets the function that receives late answers. It must be called before the first request.
+func (p *Pool) OnLateAnswer(onLate LateAnswerFunc) { p.onLateAnswer = onLate }
 
-// SetLimits takes other bounds for what is opened and retained from now on.
+// SetLimits replaces the limits. They apply to connections opened or kept idle from now on.
 func (p *Pool) SetLimits(limits PoolLimits) {
 	p.mu.Lock()
 	p.limits = limits
 	p.mu.Unlock()
 }
 
-// SetAddress tells where a host is. "" forgets it. Connections to an old address are closed.
+// SetAddress sets the address of a host; "" removes the host. Idle connections to the previous address are
+// closed.
 func (p *Pool) SetAddress(name, address string) {
 	p.mu.Lock()
 	h := p.hosts[name]
@@ -120,7 +134,7 @@
 	}
 }
 
-// CloseIdle closes the connections to a host on which nothing is due.
+// CloseIdle closes the idle connections to a host.
 func (p *Pool) CloseIdle(name string) {
 	p.mu.Lock()
 	h := p.hosts[name]
@@ -140,26 +154,27 @@
 	}
 }
 
-// Sweep closes what has been idle for too long; call it every second or so.
+// Sweep closes the connections that have been idle for too long. It should be called about once a second.
 func (p *Pool) Sweep() {
-	var old []*conn
+	var expired []*conn
 	p.mu.Lock()
 	for _, h := range p.hosts {
 		n := 0
-		for n < len(h.idle) && !p.usable(h.idle[n]) { // the oldest come first
+		for n < len(h.idle) && !p.usable(h.idle[n]) { // the connections idle for longest come first
 			n++
 		}
-		old = append(old, h.idle[:n]...)
+		expired = append(expired, h.idle[:n]...)
 		h.idle = append([]*conn(nil), h.idle[n:]...)
 	}
 	p.mu.Unlock()
-	for _, c := range old {
+	for _, c := range expired {
 		c.close()
 	}
 }
 
-// usable keeps a good distance from the moment at which the host closes a connection, or from which it was seen to be
-// dropped: a request written to it from then on may have run for all one can tell. p.mu is locked by the caller.
+// usable reports whether an idle connection may carry another request. It stops well before the host's idle
+// timeout, and before the idle time from which connections were found to be dropped: a request written to a
+// closed connection fails without proof that it did not run. The caller must hold p.mu.
 func (p *Pool) usable(c *conn) bool {
 	idle := p.clock.Now() - c.idleSince
 	return (p.limits.IdleTimeout <= 0 || idle < clock.Millis(p.limits.IdleTimeout)*0.7) && idle < p.staleness.maxIdleMillis()
--- a/internal/net/pg/pool_acquire.go
+++ b/internal/net/pg/pool_acquire.go
@@ -9,7 +9,8 @@
 	"ashstand/internal/net/loop"
 )
 
-// Acquire takes a connection from the pool, or dials one and waits until the host is ready for a query.
+// Acquire takes an idle connection from the pool, or dials a new one and waits until the host is ready for a
+// query.
 func (p *Pool) Acquire(ctx context.Context, name string) (edge.Conn, error) {
 	c, err := p.acquire(ctx, name)
 	if err != nil {
@@ -19,16 +20,18 @@
 }
 
 func (p *Pool) acquire(ctx context.Context, name string) (c *conn, err error) {
-	for err = errAddressChanged; errors.Is(err, errAddressChanged); { // the host moved while it was dialled: it is to be had elsewhere
+	// If the host's address changes during the dial, the next iteration dials the new address.
+	for err = errAddressChanged; errors.Is(err, errAddressChanged); {
 		c, err = p.acquireOnce(ctx, name)
 	}
 	return c, err
 }
 
 func (p *Pool) acquireOnce(ctx context.Context, name string) (*conn, error) {
-	c, h, old, err := p.reserve(name)
-	for _, end := range old { // before the dial: it is their place that the new one has
-		end()
+	c, h, closers, err := p.reserve(name)
+	// The closers run before the dial, because the new connection takes the place of a closed one.
+	for _, closeConn := range closers {
+		closeConn()
 	}
 	if c != nil || err != nil {
 		return c, err
@@ -36,8 +39,9 @@
 	return p.dial(ctx, name, h)
 }
 
-// reserve takes a connection from the pool, or a place for a new one. old ends those that are not to be used again.
-func (p *Pool) reserve(name string) (c *conn, h *host, old []func(), err error) {
+// reserve takes an idle connection from the pool, or counts a new one as open. The caller must call the
+// closers, which close the connections that are no longer usable or were evicted.
+func (p *Pool) reserve(name string) (c *conn, h *host, closers []func(), err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if h = p.hosts[name]; h == nil {
@@ -48,29 +52,30 @@
 		h.idle = h.idle[:len(h.idle)-1]
 		if p.usable(c) {
 			c.reused = true
-			return c, h, old, nil
+			return c, h, closers, nil
 		}
-		old = append(old, c.close)
+		closers = append(closers, c.close)
 	}
 	if p.openConns >= p.limits.Connections {
-		end := p.evictOne()
-		if end == nil {
-			return nil, h, old, edge.ErrPoolExhausted
+		evict := p.evictOne()
+		if evict == nil {
+			return nil, h, closers, edge.ErrPoolExhausted
 		}
-		old = append(old, end)
+		closers = append(closers, evict)
 	}
 	p.openConns++
-	return nil, h, old, nil
+	return nil, h, closers, nil
 }
 
-// evictOne frees a place: it takes a dial that nobody waits for, else the connection that has been idle for longest, and
-// returns what ends it. p.mu is locked by the caller.
-func (p *Pool) evictOne() (end func()) {
+// evictOne makes room for a new connection. It picks an abandoned dial, or else the connection that has been
+// idle for longest, and returns the function that ends it; nil if there is neither. The caller must hold
+// p.mu.
+func (p *Pool) evictOne() (evict func()) {
 	var from *host
 	for _, h := range p.hosts {
 		if h.abandonedDial != nil {
-			end, h.abandonedDial = h.abandonedDial.cancel, nil
-			return end
+			evict, h.abandonedDial = h.abandonedDial.cancel, nil
+			return evict
 		}
 		if len(h.idle) > 0 && (from == nil || h.idle[0].idleSince < from.idle[0].idleSince) {
 			from = h
@@ -84,15 +89,16 @@
 	return c.close
 }
 
-// dialResult is what came of a dial.
+// dialResult is the outcome of a dial.
 type dialResult struct {
 	conn *conn
 	err  error
 }
 
-// dial waits for a new connection, up to the time in the settings and as long as the attempt is not given up. A dial
-// that is given up goes on up to that time, one for each host, and its connection goes to the pool: the host has paid
-// for it, and the next attempt would have it pay once more.
+// dial waits for a new connection until the connect timeout, or until ctx ends because the attempt is
+// abandoned. One abandoned dial per host continues until the connect timeout, and its connection goes to the
+// pool: the host has already spent the work of a handshake, and the next attempt would make it spend that
+// work again.
 func (p *Pool) dial(ctx context.Context, name string, h *host) (*conn, error) {
 	p.mu.Lock()
 	timeout := p.limits.ConnectTimeout
@@ -100,12 +106,12 @@
 	if timeout <= 0 {
 		return p.connect(ctx, name, h)
 	}
-	// A time of its own: a dial that ran out of it says something of the host, an attempt that was given up nothing.
-	own, cancel := context.WithTimeout(context.WithoutCancel(ctx), timeout)
+	// The dial has its own timeout. Exceeding it is evidence about the host; an abandoned attempt is not.
+	dialCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), timeout)
 	dialed := make(chan dialResult, 1)
 	go func() {
 		defer cancel()
-		c, err := p.connect(own, name, h)
+		c, err := p.connect(dialCtx, name, h)
 		dialed <- dialResult{c, err}
 	}()
 	select {
@@ -117,7 +123,8 @@
 	return nil, ctx.Err()
 }
 
-// abandonDial lets a dial go on whose attempt was given up, unless another of the host's does.
+// abandonDial lets the dial of an abandoned attempt continue, unless another abandoned dial to the host is
+// under way.
 func (p *Pool) abandonDial(name string, h *host, cancel func(), dialed <-chan dialResult) {
 	abandoned := &abandonedDial{cancel}
 	p.mu.Lock()
@@ -140,8 +147,8 @@
 	}()
 }
 
-// connect dials a host and waits until it is ready for a query. Its place among the open connections is free again when that
-// fails: at once where the loop never had it, else once it is closed.
+// connect dials a host and waits until it is ready for a query. If that fails, the connection no longer
+// counts as open: immediately if it was never registered with the event loop, otherwise once it is closed.
 func (p *Pool) connect(ctx context.Context, name string, h *host) (*conn, error) {
 	c := &conn{pool: p, host: h, name: name}
 	err := p.checkUsable(c)
@@ -164,9 +171,9 @@
 	return c, nil
 }
 
-// handshake sends the startup message and waits for its answer.
+// handshake sends the startup message and waits for the response.
 func (p *Pool) handshake(ctx context.Context, c *conn) error {
-	if err := p.checkUsable(c); err != nil { // a handshake is work too
+	if err := p.checkUsable(c); err != nil { // a handshake is new work for the host
 		return err
 	}
 	if p.Handshaking != nil {
@@ -182,7 +189,8 @@
 	return p.checkUsable(c)
 }
 
-// checkUsable says why a connection is not to be used, or made, any more: its host takes nothing new, or is elsewhere now.
+// checkUsable returns an error if a connection must not be established or used any more, because its host
+// takes no new work or is at another address now.
 func (p *Pool) checkUsable(c *conn) error {
 	if p.Listed != nil && !p.Listed(c.name) {
 		return edge.ErrUnlisted
--- a/internal/net/pg/pool_conn.go
+++ b/internal/net/pg/pool_conn.go
@@ -12,42 +12,45 @@
 	"ashstand/internal/dispatch"
 )
 
-// conn is a connection to a db host. One request owns it, or it lies in the pool.
+// conn is a connection to a database host. It is owned by one request, or idle in the pool.
 type conn struct {
 	pool     *Pool
 	host     *host
 	name     string
 	gnetConn gnet.Conn
-	reused   bool // it carried a request before; who owns the connection sets it
+	reused   bool // it carried a request before; set by the owner of the connection
 
-	// The event loop owns what follows.
+	// The event loop owns the fields from here to mu.
 
-	scanFrom int // where to go on looking for the end of the response
-	// awaitingReply: a request was written, so what comes is its answer. That an exchange waits is not enough: its request
-	// may still be on the way to the loop, and what comes then belongs to the last one.
+	scanFrom int // offset in the read buffer from which the search for the end of the response continues
+	// awaitingReply reports whether a request was written, so that incoming bytes are its response. A pending
+	// exchange does not imply this: while its request is still on the way to the event loop, incoming bytes
+	// belong to the previous request.
 	awaitingReply bool
-	countedBytes  int             // what of the pool's unread bytes lies here
-	onLateReply   func(*response) // who wants to know what answers the last request, should that be given up; or nil
+	countedBytes  int             // this connection's share of the pool's unreadBytes
+	onLateReply   func(*response) // receives the response if the last request is abandoned; may be nil
 
-	// mu guards what follows.
-	mu        sync.Mutex
-	pending   chan exchangeResult // of the exchange under way; nil: none
-	progress  writeProgress       // of its request
-	writtenAt float64             // when its last byte was handed to the kernel, in clock milliseconds; 0: it was not, or that is not known
+	// mu guards the fields below.
+	mu       sync.Mutex
+	pending  chan exchangeResult // receives the result of the exchange under way; nil if there is none
+	progress writeProgress       // progress of the request of that exchange
+	// writtenAt is when the last byte of that request was handed to the kernel, in clock milliseconds; 0 if
+	// it was not, or if the time is unknown.
+	writtenAt float64
 	closed    bool
 	idleSince float64 // clock milliseconds
 }
 
-// writeProgress is how much of a request was handed to the kernel.
+// writeProgress tells how much of a request was handed to the kernel.
 type writeProgress uint8
 
 const (
-	requestNotBegun writeProgress = iota // nothing
-	requestBegun                         // its last byte was not
-	requestWritten                       // all of it, or the event loop is about to
+	requestNotBegun writeProgress = iota // nothing was handed over
+	requestBegun                         // the last byte was not handed over
+	requestWritten                       // all of it was handed over, or lies in the event loop's write buffer
 )
 
-// execution is what is proven of a request whose exchange brought no answer.
+// execution returns what is known about the execution of a request that got no response.
 func (p writeProgress) execution() dispatch.Execution {
 	switch p {
 	case requestNotBegun:
@@ -58,22 +61,23 @@
 	return dispatch.MayHaveRun
 }
 
-// exchangeResult is what an exchange waits for.
+// exchangeResult is the outcome of an exchange.
 type exchangeResult struct {
 	response  response
-	err       error              // the connection broke or what came makes no sense
-	execution dispatch.Execution // with err: what is proven of whether the request ran
+	err       error              // set if the connection broke or the response is malformed
+	execution dispatch.Execution // if err is set: what is known about whether the request ran
 }
 
-// Traffic is called on the loop. A response stays in the connection's ring buffer until it is complete.
+// Traffic is called on the event loop when data has arrived. A response stays in the connection's ring buffer
+// until it is complete.
 func (c *conn) Traffic(g gnet.Conn) gnet.Action {
 	action := c.readResponse(g)
 	p := c.pool
 	c.countUnread(g.InboundBuffered())
 	p.mu.Lock()
-	most := p.limits.Bytes
+	maxUnread := p.limits.Bytes
 	p.mu.Unlock()
-	if most > 0 && p.unreadBytes > most && c.countedBytes > 0 {
+	if maxUnread > 0 && p.unreadBytes > maxUnread && c.countedBytes > 0 {
 		return c.failMalformed(errMessageLength)
 	}
 	return action
@@ -93,41 +97,42 @@
 	if !c.awaitingReply {
 		return c.readUnsolicited(g, b)
 	}
-	end, at, err := findResponseEnd(b, c.scanFrom)
-	if err == nil && end == 0 && n > maxResponseBytes {
+	responseEnd, scannedTo, err := findResponseEnd(b, c.scanFrom)
+	if err == nil && responseEnd == 0 && n > maxResponseBytes {
 		err = errMessageLength
 	}
 	if err != nil {
 		return c.failMalformed(err)
 	}
-	if c.scanFrom = at; end == 0 {
+	if c.scanFrom = scannedTo; responseEnd == 0 {
 		return gnet.None
 	}
-	r, err := parseResponse(b[:end], c.pool.names)
+	r, err := parseResponse(b[:responseEnd], c.pool.names)
 	if err != nil {
 		return c.failMalformed(err)
 	}
-	_, _ = g.Discard(end)
+	_, _ = g.Discard(responseEnd)
 	c.scanFrom, c.awaitingReply = 0, false
-	isAlone := end == n
-	if !isAlone { // the answer is complete and good, but what came behind it belongs to no request: the connection ends here
+	nothingFollows := responseEnd == n
+	if !nothingFollows { // the response is valid, but the bytes after it belong to no request, so the connection is closed
 		c.mu.Lock()
 		c.closed = true
 		c.mu.Unlock()
 	}
 	if c.deliver(exchangeResult{response: r}) {
-		if isAlone {
+		if nothingFollows {
 			return gnet.None
 		}
 		return gnet.Close
 	}
-	if c.onLateReply != nil { // given up, but for this
+	if c.onLateReply != nil { // the request was abandoned
 		go c.onLateReply(&r)
 	}
 	return gnet.Close
 }
 
-// readUnsolicited takes what comes while no answer is due: notices, parameters and a last error, which ends in a close.
+// readUnsolicited handles data that arrives while no response is expected. A single notice or
+// parameter change is skipped; anything else, such as the error that precedes a close, ends the connection.
 func (c *conn) readUnsolicited(g gnet.Conn, b []byte) gnet.Action {
 	kind, _, rest, ok, err := nextMessage(b, maxServerMessageBytes)
 	if err != nil || ok && (len(rest) > 0 || kind != serverNotice && kind != serverParameterStatus) {
@@ -139,7 +144,7 @@
 	return gnet.None
 }
 
-// failMalformed ends the connection, and with it the exchange under way, for what came.
+// failMalformed closes the connection and fails the exchange under way, because the received data is invalid.
 func (c *conn) failMalformed(err error) gnet.Action {
 	if !errors.Is(err, errMalformed) {
 		err = fmt.Errorf("%w: %w", errMalformed, err)
@@ -148,16 +153,16 @@
 	return gnet.Close
 }
 
-// Closed is called on the loop.
+// Closed is called on the event loop when the connection has ended.
 func (c *conn) Closed(g gnet.Conn, err error) {
 	c.countUnread(0)
 	c.mu.Lock()
-	if g.OutboundBuffered() > 0 { // it broke before the last byte was written
+	if g.OutboundBuffered() > 0 { // the connection broke before the last byte was written
 		c.progress = min(c.progress, requestBegun)
 	}
 	c.closed = true
 	c.mu.Unlock()
-	discardUnconfirmed(g) // else what counts as never written is written now
+	discardUnconfirmed(g) // otherwise bytes reported as never written would be written now
 	if err == nil {
 		err = errClosed
 	}
@@ -174,34 +179,34 @@
 	p.mu.Unlock()
 }
 
-// deliver brings what came to the exchange that waits for it. false: none does, or no longer.
+// deliver passes a result to the exchange under way. It returns false if no exchange is waiting.
 func (c *conn) deliver(e exchangeResult) bool {
 	c.mu.Lock()
-	due := c.pending
+	waiting := c.pending
 	c.pending = nil
 	c.mu.Unlock()
-	if due != nil {
-		due <- e
+	if waiting != nil {
+		waiting <- e
 	}
-	return due != nil
+	return waiting != nil
 }
 
 func (c *conn) close() { _ = c.gnetConn.Close() }
 
-// roundTrip writes once what build makes, on the loop and in the moment of the write, and waits for the response. Where build
-// makes nothing, nothing is written, and the connection is as before. late, unless nil, gets a response that comes as its
-// request is given up.
-func (c *conn) roundTrip(ctx context.Context, build func() []byte, late func(*response)) exchangeResult {
-	due := make(chan exchangeResult, 1)
+// roundTrip writes a request and waits for the response. It calls build on the event loop, right before the
+// write, to get the request. If build returns nil, nothing is written and the connection stays usable.
+// onLate, if not nil, receives a response that arrives after the request was abandoned.
+func (c *conn) roundTrip(ctx context.Context, build func() []byte, onLate func(*response)) exchangeResult {
+	results := make(chan exchangeResult, 1)
 	c.mu.Lock()
 	if c.closed {
 		c.mu.Unlock()
 		return exchangeResult{err: errClosed, execution: dispatch.NotBegun}
 	}
-	c.pending, c.progress, c.writtenAt = due, requestNotBegun, 0
+	c.pending, c.progress, c.writtenAt = results, requestNotBegun, 0
 	c.mu.Unlock()
 	if err := c.gnetConn.EventLoop().Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
-		c.send(build, late, due)
+		c.send(build, onLate, results)
 		return nil
 	})); err != nil {
 		c.close()
@@ -209,15 +214,15 @@
 	}
 	var e exchangeResult
 	select {
-	case e = <-due:
+	case e = <-results:
 	case <-ctx.Done():
 		c.mu.Lock()
-		if c.pending != due {
+		if c.pending != results {
 			c.mu.Unlock()
-			e = <-due // it came at the same moment
+			e = <-results // the result arrived as ctx ended
 			break
 		}
-		c.pending = nil // a request that was not begun is not begun any more: send looks at this first
+		c.pending = nil // send checks this first, so a request that was not begun will not be begun any more
 		execution := dispatch.MayHaveRun
 		if c.progress == requestNotBegun {
 			execution = dispatch.NotBegun
@@ -232,21 +237,22 @@
 	return e
 }
 
-// abandon ends a request that is given up: our sending at once, and the connection a little later. An answer that is on
-// its way just now may say that its host is no longer the primary; closed over it, the pooler would never know.
+// abandon ends a request that nobody waits for any more. It shuts down the sending side at once and closes
+// the connection after the late answer window, because a response in transit may say that the host is no
+// longer the primary. The pooler would miss that if it closed the connection at once.
 func (c *conn) abandon() {
 	p := c.pool
 	if l := c.gnetConn.EventLoop(); l.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
 		c.mu.Lock()
-		gone := c.closed
+		closed := c.closed
 		c.mu.Unlock()
-		if gone {
+		if closed {
 			return nil
 		}
 		p.mu.Lock()
-		full := p.openConns >= p.limits.Connections // its place is wanted
+		full := p.openConns >= p.limits.Connections // a new connection may need this one's place
 		p.mu.Unlock()
-		// Where the host has not got all of the request, no answer to it can be on its way.
+		// If the host has not received the whole request, no response to it can be in transit.
 		if full || !c.awaitingReply || c.onLateReply == nil || unsentBytes(c.gnetConn) > 0 || shutdownWrite(c.gnetConn) != nil {
 			return l.Close(c.gnetConn)
 		}
@@ -257,9 +263,10 @@
 	}
 }
 
-// send runs on the loop. What was already there when the request went out can't be its answer: a second copy of the
-// last one, noise, or the end of the connection, which then says nothing of the request.
-func (c *conn) send(build func() []byte, late func(*response), due chan exchangeResult) {
+// send writes a request. It runs on the event loop. Data or an end of the connection that arrived before the
+// request was written can't be its response: it may be a second copy of the last response or garbage, and
+// says nothing about this request. The request is then not written.
+func (c *conn) send(build func() []byte, onLate func(*response), results chan exchangeResult) {
 	c.mu.Lock()
 	closed := c.closed
 	c.mu.Unlock()
@@ -269,7 +276,7 @@
 	}
 	var b []byte
 	c.mu.Lock()
-	if c.pending == due { // not given up meanwhile: what build asks is asked for this attempt
+	if c.pending == results { // the request was not abandoned; build is only called for a live attempt
 		if b = build(); b != nil {
 			c.progress = requestBegun
 		}
@@ -287,13 +294,13 @@
 		_ = c.gnetConn.EventLoop().Close(c.gnetConn)
 		return
 	}
-	c.awaitingReply, c.onLateReply = true, late
+	c.awaitingReply, c.onLateReply = true, onLate
 	if _, err := c.gnetConn.Write(b); err != nil {
-		c.deliver(exchangeResult{err: err}) // and gnet closes the connection
+		c.deliver(exchangeResult{err: err}) // gnet closes the connection
 		return
 	}
 	c.mu.Lock()
-	if !c.closed { // what is left of it lies in the ring buffer, which Closed looks at
+	if !c.closed { // the unwritten rest lies in the outbound buffer, which Closed checks
 		c.progress = requestWritten
 	}
 	if c.progress == requestWritten && c.gnetConn.OutboundBuffered() == 0 {
@@ -301,32 +308,33 @@
 	}
 	c.mu.Unlock()
 	if c.gnetConn.OutboundBuffered() > 0 {
-		time.AfterFunc(maxWriteTime, func() { c.endUnwritten(due) })
+		time.AfterFunc(maxWriteTime, func() { c.endUnwritten(results) })
 	}
 }
 
-// endUnwritten ends an attempt whose request the kernel has not taken whole in time: what was true of its deadline, its client
-// and the age of its host's data when it was begun may not be when its last byte goes out. Nothing ran.
-func (c *conn) endUnwritten(due chan exchangeResult) {
+// endUnwritten closes the connection if the kernel has not accepted the whole request within maxWriteTime.
+// The checks made when the write began (the deadline, whether the client is still there, how old the host's
+// data is) may no longer hold when the last byte goes out. An incomplete request never ran.
+func (c *conn) endUnwritten(results chan exchangeResult) {
 	l := c.gnetConn.EventLoop()
 	_ = l.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
 		c.mu.Lock()
-		isDue := c.pending == due && !c.closed
+		isPending := c.pending == results && !c.closed
 		c.mu.Unlock()
-		if !isDue || c.gnetConn.OutboundBuffered() == 0 {
+		if !isPending || c.gnetConn.OutboundBuffered() == 0 {
 			return nil
 		}
-		return l.Close(c.gnetConn) // Closed reports that the last byte was not written
+		return l.Close(c.gnetConn) // Closed records that the last byte was not written
 	}))
 }
 
-// release gives the connection back.
+// release returns the connection to the pool, or closes it.
 func (c *conn) release() {
 	p := c.pool
 	c.mu.Lock()
 	c.idleSince = p.clock.Now()
 	p.mu.Lock()
-	keep := !c.closed && p.hosts[c.name] == c.host // else the host moved or is forgotten
+	keep := !c.closed && p.hosts[c.name] == c.host // otherwise the host has moved or was removed
 	if keep {
 		c.host.idle = append(c.host.idle, c)
 	}
--- a/internal/net/pg/pool_exchange.go
+++ b/internal/net/pg/pool_exchange.go
@@ -9,26 +9,27 @@
 	"ashstand/internal/sqlcomment"
 )
 
-// Exchange is described at edge.Conn.
+// Exchange implements edge.Conn.
 func (c *conn) Exchange(ctx context.Context, s *sqlcomment.Statement, gate edge.Gate) edge.Reply {
 	reply, writtenAt := c.exchange(ctx, s, gate)
 	reply.WrittenAt = writtenAt
 	return reply
 }
 
-// exchange is Exchange. writtenAt is when the last byte of the request was handed to the kernel; 0: it was not, or is not known.
+// exchange does the work of Exchange. writtenAt is when the last byte of the request was handed to the
+// kernel; 0 if it was not, or if the time is unknown.
 func (c *conn) exchange(ctx context.Context, s *sqlcomment.Statement, gate edge.Gate) (reply edge.Reply, writtenAt float64) {
-	begun, sent, write := c.pool.clock.Now(), 0.0, s.IsWrite
+	startedAt, sentAt, write := c.pool.clock.Now(), 0.0, s.IsWrite
 	result := c.roundTrip(ctx, func() []byte {
 		wait, ok := gate()
 		if !ok {
 			return nil
 		}
-		sent = c.pool.clock.Now()
+		sentAt = c.pool.clock.Now()
 		return appendQuery(make([]byte, 0, len(s.Text)+16), func(b []byte) []byte { return s.AppendWithTimeout(b, wait) })
 	}, func(r *response) {
-		if late := c.pool.onLateAnswer; late != nil && r.code() != dispatch.Malformed {
-			late(c.name, sent, write, c.pool.outcomeOf(r, write))
+		if onLateAnswer := c.pool.onLateAnswer; onLateAnswer != nil && r.code() != dispatch.Malformed {
+			onLateAnswer(c.name, sentAt, write, c.pool.outcomeOf(r, write))
 		}
 	})
 	if errors.Is(result.err, errGateClosed) {
@@ -41,7 +42,7 @@
 	if c.reused && !result.execution.NeverRan() {
 		isReset := result.err != nil && !errors.Is(result.err, errMalformed) && ctx.Err() == nil
 		c.pool.mu.Lock()
-		c.pool.staleness.record(begun, begun-c.idleSince, isReset)
+		c.pool.staleness.record(startedAt, startedAt-c.idleSince, isReset)
 		c.pool.mu.Unlock()
 	}
 	if result.err != nil {
@@ -49,7 +50,7 @@
 		return edge.Reply{Outcome: dispatch.Outcome{Code: code, Execution: result.execution}, Detail: result.err.Error()}, writtenAt
 	}
 	r := &result.response
-	if r.code() == dispatch.Malformed { // it teaches nothing, its position least of all
+	if r.code() == dispatch.Malformed { // nothing in the response can be trusted, least of all its position
 		c.close()
 		return edge.Reply{Outcome: dispatch.Outcome{Code: dispatch.Malformed, Execution: r.execution(s.IsWrite)}, Detail: errUnexpectedMessage.Error()}, writtenAt
 	}
@@ -61,11 +62,13 @@
 	return reply, writtenAt
 }
 
-// failureCode is what an exchange that brought no answer says of its host.
+// failureCode classifies an exchange that got no response.
 func (c *conn) failureCode(e *exchangeResult) dispatch.Code {
-	isGivenUp := errors.Is(e.err, context.DeadlineExceeded) || errors.Is(e.err, context.Canceled)
+	isAbandoned := errors.Is(e.err, context.DeadlineExceeded) || errors.Is(e.err, context.Canceled)
 	switch {
-	case e.execution.NeverRan() && (c.reused || isGivenUp): // closed while it lay in the pool, or given up: nothing against the host
+	// The connection was closed while idle in the pool, or the attempt was abandoned; neither counts against
+	// the host.
+	case e.execution.NeverRan() && (c.reused || isAbandoned):
 		return dispatch.NotSent
 	case e.execution.NeverRan():
 		return dispatch.NoConnection
@@ -79,7 +82,7 @@
 	return dispatch.ConnectionLost
 }
 
-// outcomeOf is what a response says.
+// outcomeOf converts a response to an outcome.
 func (p *Pool) outcomeOf(r *response, isWrite bool) dispatch.Outcome {
 	return dispatch.Outcome{
 		Code: r.code(), Execution: r.execution(isWrite), Role: p.role(r.answer.Role), Position: r.answer.Position,
@@ -87,10 +90,10 @@
 	}
 }
 
-// code is how an exchange ended that brought this response.
+// code classifies the response.
 func (r *response) code() dispatch.Code {
 	switch {
-	case r.sqlState != "" && r.hasBegun(): // whatever it says, it is no rejection of something that did not run
+	case r.sqlState != "" && r.hasBegun(): // the statement ran, so the error is not a rejection
 		return dispatch.ServerError
 	case r.sqlState == sqlStateReadOnlyTransaction || r.sqlState == sqlStateReplicaBehind:
 		return dispatch.Misdirected
@@ -104,11 +107,12 @@
 	return dispatch.OK
 }
 
-// hasBegun reports whether a part of a result came: then the statement ran, whatever came behind it.
+// hasBegun reports whether a part of a result arrived. If so, the statement ran, whatever came after that part.
 func (r *response) hasBegun() bool { return r.described || r.rows > 0 || r.completed }
 
-// execution is what the response proves of whether the statement ran. A host rejects a write since it is no primary, a read
-// since its data is too old, and anything for want of capacity. One that mixes these up contradicts itself, and proves nothing.
+// execution returns what the response proves about whether the statement ran. A host rejects a write because
+// it is not the primary, a read because its data is too old, and either for lack of capacity. Any other
+// combination, such as a read rejected for not being on the primary, is contradictory and proves nothing.
 func (r *response) execution(isWrite bool) dispatch.Execution {
 	switch {
 	case r.hasBegun():
@@ -131,8 +135,8 @@
 	return dispatch.Unknown
 }
 
-// Probe asks a host for its load report and gives what came of it. listed is asked again before the write:
-// nothing goes to a host that drains or was removed.
+// Probe requests a load report from a host and returns the outcome. listed is checked again right before the
+// write, because nothing may be sent to a host that is draining or was removed.
 func (p *Pool) Probe(ctx context.Context, name string, listed func(name string) bool) dispatch.Outcome {
 	if !listed(name) {
 		return dispatch.Outcome{Code: dispatch.NotSent}
--- a/internal/net/pg/server_conn.go
+++ b/internal/net/pg/server_conn.go
@@ -15,12 +15,14 @@
 	"ashstand/internal/session"
 )
 
-// parameterSet are the parameters that a server reported or a client was told. A set is never changed once it is shared.
+// parameterSet holds the parameters that a server reported or that a client was told. A set must not be
+// modified once it is shared.
 type parameterSet struct {
 	values      map[string]string
-	fingerprint uint64 // tells two sets apart without comparing them
+	fingerprint uint64 // differs between different sets, so that the values need not be compared
 }
 
+// with returns the set with one parameter changed, or p itself if the parameter has that value already.
 func (p *parameterSet) with(f *SessionFront, name, value string) *parameterSet {
 	old, had := p.values[name]
 	if had && old == value {
@@ -34,46 +36,48 @@
 	return n
 }
 
-// serverConn is one connection of the session front to a db host. One session is linked to it, or it lies in its pool. It
-// belongs to the event loop of its front, the states below included; there is no lock.
+// serverConn is a connection of the session front to a database host. It is linked to one session, or idle in
+// its pool. The event loop of the front owns it and its state, so there is no lock.
 type serverConn struct {
 	front      *SessionFront
 	pool       *serverPool
 	wire       loop.PausableConn
-	session    *sessionClient    // nil: none is linked
-	settings   *session.Settings // what holds on it while nobody is linked
+	session    *sessionClient    // the linked session; nil if there is none
+	settings   *session.Settings // the settings in effect on the connection while no session is linked
 	prepared   *session.ServerStatements
 	parameters *parameterSet
 
-	idleSince       float64 // clock milliseconds since which it is unused
+	idleSince       float64 // when it was last returned to the pool, in clock milliseconds
 	createdAt       float64 // clock milliseconds
-	connecting      bool    // its host is not ready for a query yet
-	handlingTraffic bool    // Traffic is under way
-	retired         bool    // not to be used again
+	connecting      bool    // the host is not ready for a query yet
+	handlingTraffic bool    // Traffic is running
+	retired         bool    // must not be used again
 	closed          bool
-	requestSent     bool // something of the linked transaction was written
+	requestSent     bool // a part of the linked transaction was written
 
 	cancellation cancellationState
 	stream       streamState
 	report       hostReport
 }
 
-// cancellationState is what a cancel request to a connection's host has to name. The event loop owns it.
+// cancellationState holds the key that a cancel request must carry, and counts the cancel requests under way.
+// The event loop owns it.
 type cancellationState struct {
 	pid, secret uint32
-	pending     int // cancel requests that are on their way to the host
+	pending     int // cancel requests being delivered to the host
 }
 
-// hostReport is what a host said of itself since the last ReadyForQuery. The event loop owns it.
+// hostReport is what a host reported about itself since the last ReadyForQuery. The event loop owns it.
 type hostReport struct {
 	role     string
-	position float64 // Unix milliseconds; 0: it said none
+	position float64 // Unix milliseconds; 0 if not reported
 }
 
-// defaultMaxPreparedStatements bounds the statements on a connection whose pool is set no more.
+// defaultMaxPreparedStatements limits the prepared statements on a connection whose pool is no longer
+// configured.
 const defaultMaxPreparedStatements = 100
 
-// openServerConn opens one more connection for a pool; whoever waits there gets it.
+// openServerConn opens one more connection for a pool. A session that waits in the pool's queue gets it.
 func (f *SessionFront) openServerConn(p *serverPool) {
 	p.open++
 	p.dialing++
@@ -92,16 +96,16 @@
 		maxStatements = settings.MaxPreparedStatements
 	}
 	s.prepared = session.NewServerStatements(maxStatements)
-	address, begun := p.host.address, time.Now()
+	address, dialStart := p.host.address, time.Now()
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), limits.ConnectTimeout)
 		defer cancel()
 		conn, err := f.engine.Dial(ctx, address, s)
-		f.onLoop(func() { s.dialed(conn, err, address, limits.ConnectTimeout-time.Since(begun)) })
+		f.onLoop(func() { s.dialed(conn, err, address, limits.ConnectTimeout-time.Since(dialStart)) })
 	}()
 }
 
-// dialed takes the outcome of a dial to an address. The host has to be ready for a query within what is left of the time.
+// dialed handles the outcome of a dial to an address. The host must be ready for a query within timeRemaining.
 func (s *serverConn) dialed(conn gnet.Conn, err error, address string, timeRemaining time.Duration) {
 	f, p := s.front, s.pool
 	switch {
@@ -113,7 +117,7 @@
 		return
 	}
 	s.wire = loop.NewPausableConn(f.engine, conn, s)
-	if p.host.address != address || !f.dispatcher.IsActive(p.host.name) { // a handshake is work too
+	if p.host.address != address || !f.dispatcher.IsActive(p.host.name) { // a handshake is new work for the host
 		s.unregister()
 		s.wire.Close()
 		p.connectFailed(errHostUnavailable)
@@ -121,7 +125,7 @@
 	}
 	f.dispatcher.SlowStartHandshake(p.host.name)
 	s.wire.Write(startupMessage(p.key.user, p.key.database))
-	time.AfterFunc(timeRemaining, func() { // a connection not up by then counts as none
+	time.AfterFunc(timeRemaining, func() { // a host that is not ready by then counts as unreachable
 		f.onLoop(func() {
 			if s.connecting && !s.closed {
 				s.wire.Close()
@@ -130,7 +134,7 @@
 	})
 }
 
-// unregister takes a connection off the books.
+// unregister marks the connection as closed and removes it from its pool and from the counts.
 func (s *serverConn) unregister() {
 	if s.closed {
 		return
@@ -149,13 +153,13 @@
 	}
 }
 
-// Closed is called on the loop.
+// Closed is called on the event loop when the connection has ended.
 func (s *serverConn) Closed(g gnet.Conn, err error) {
 	if !s.wire.ConfirmClosed() {
 		return
 	}
 	if g != nil {
-		discardUnconfirmed(g) // its session has gone, or learns that the connection was lost
+		discardUnconfirmed(g) // the session has ended, or is told below that the connection was lost
 	}
 	started := !s.connecting || s.closed
 	s.unregister()
@@ -174,17 +178,20 @@
 	}
 }
 
-// isExpired reports whether the connection is to be used no more.
+// isExpired reports whether the connection must not be used any more: it was retired, idle for too long, or
+// is too old.
 func (s *serverConn) isExpired(p *PoolSettings, now float64) bool {
 	return s.retired || p.ServerIdleMillis > 0 && now-s.idleSince > p.ServerIdleMillis || p.ServerLifetimeMillis > 0 && now-s.createdAt > p.ServerLifetimeMillis
 }
 
-// returnToPool puts the connection into its pool, or ends it.
+// returnToPool puts the connection into its pool, or closes it.
 func (s *serverConn) returnToPool() {
 	f, p := s.front, s.pool
 	s.idleSince = f.clock.Now()
 	ps := f.limits.Load().poolFor(p.key.database, p.key.user)
-	if s.cancellation.pending > 0 { // a cancel under way may hit whatever runs next: it comes back once that is delivered
+	// A pending cancel request could cancel the next session's query. The connection returns once it is
+	// delivered.
+	if s.cancellation.pending > 0 {
 		return
 	}
 	if ps == nil || s.retired || p.host.address == "" || f.draining && p.queue.Len() == 0 || ps.ServerLifetimeMillis > 0 && s.idleSince-s.createdAt > ps.ServerLifetimeMillis ||
@@ -197,9 +204,9 @@
 	p.serveWaiters(f)
 }
 
-// Traffic is called on the loop.
+// Traffic is called on the event loop when data has arrived.
 func (s *serverConn) Traffic(g gnet.Conn) gnet.Action {
-	if s.wire.Conn == nil { // it spoke before it was spoken to
+	if s.wire.Conn == nil { // the host sent data before the startup message
 		return gnet.Close
 	}
 	s.handlingTraffic = true
@@ -217,13 +224,13 @@
 		}
 		return gnet.Close
 	}
-	if s.retired && s.session == nil && !s.connecting { // whoever had it went meanwhile
+	if s.retired && s.session == nil && !s.connecting { // the linked session has left in the meantime
 		return gnet.Close
 	}
 	return gnet.None
 }
 
-// readStartup reads the answer to the startup message.
+// readStartup reads the response to the startup message.
 func (s *serverConn) readStartup() error {
 	for {
 		b := s.wire.Peek()
@@ -247,7 +254,7 @@
 	}
 }
 
-// handleStartup takes one message of the answer to the startup message.
+// handleStartup handles one message of the response to the startup message.
 func (s *serverConn) handleStartup(kind byte, body []byte) error {
 	switch kind {
 	case serverAuthentication:
@@ -266,16 +273,16 @@
 		return s.handshakeRejected(body)
 	case serverReadyForQuery, serverNotice, serverNegotiateVersion:
 	default:
-		return fmt.Errorf("%w: %q while starting", errUnexpectedMessage, kind)
+		return fmt.Errorf("%w: %q during startup", errUnexpectedMessage, kind)
 	}
 	return nil
 }
 
-// handshakeRejected takes the error by which a host ends the connection before it is ready for a query.
+// handshakeRejected handles the error with which a host ends the connection during startup.
 func (s *serverConn) handshakeRejected(body []byte) error {
 	sqlState, text, _, _ := errorFields(body)
 	s.retired = true
-	s.front.hostLog.Printf("sessions: %s turned a connection away: %s %s", s.pool.host.name, sqlState, text)
+	s.front.hostLog.Printf("sessions: %s rejected a connection: %s %s", s.pool.host.name, sqlState, text)
 	p := s.pool
 	s.unregister()
 	s.connecting = false
@@ -287,7 +294,8 @@
 	return errHostClosing
 }
 
-// recordParameter takes a ParameterStatus. isReport: it is of the host, not of the session.
+// recordParameter records a ParameterStatus message. isReport tells whether the parameter is a report about
+// the host rather than a setting of the session.
 func (s *serverConn) recordParameter(body []byte) (isReport, ok bool) {
 	name, value, ok := cutParameter(body)
 	if !ok {
@@ -300,7 +308,7 @@
 		if position, ok := parsePosition(value); ok {
 			s.report.position = position
 		}
-	case names.Gauges: // load is read from probes alone
+	case names.Gauges: // the load report is only read from probes
 	default:
 		if _, had := s.parameters.values[name]; !had && len(s.parameters.values) >= maxReportedParameters {
 			return false, false
@@ -311,7 +319,7 @@
 	return true, true
 }
 
-// outcome is what the answer to a transaction's first request tells the decisions.
+// outcome returns what the router learns from the response to a transaction's first request.
 func (s *serverConn) outcome(code dispatch.Code) dispatch.Outcome {
 	o := dispatch.Outcome{Code: code, Position: s.report.position}
 	switch s.report.role {
--- a/internal/net/pg/server_pool.go
+++ b/internal/net/pg/server_pool.go
@@ -9,30 +9,33 @@
 	"ashstand/internal/session"
 )
 
-// sessionHost is a db host as the front knows it.
+// sessionHost is a database host at one address, with the session front's pools for it.
 type sessionHost struct {
 	name    string
 	address string
 	pools   map[poolIdentity]*serverPool
 }
 
+// poolIdentity identifies a pool within a host.
 type poolIdentity struct{ database, user string }
 
-// serverPool is the connections to one host for one database and user.
+// serverPool holds the connections to one host for one database and user.
 type serverPool struct {
 	host     *sessionHost
 	key      poolIdentity
-	idle     []*serverConn // the one used last is at the end
-	open     int           // or being opened
-	dialing  int           // being opened
-	retained int           // linked to sessions that keep them: pinned, or in session mode
-	queue    session.Queue
+	idle     []*serverConn // the most recently used connection is last
+	open     int           // connections that are open or being opened
+	dialing  int           // connections being opened
+	retained int           // connections of sessions that keep theirs: pinned sessions, and those in session mode
+	queue    session.Queue // sessions that wait for a connection
 }
 
-// maxPoolSearch is how many of the connections used last are looked at for one that has a session's settings already.
+// maxPoolSearch is how many of the most recently used connections are searched for one that already has a
+// session's settings.
 const maxPoolSearch = 8
 
-// pool is the connections to a host for a client's database and user.
+// pool returns the pool for a host, database and user. It creates the pool if there is none for the host at
+// this address.
 func (f *SessionFront) pool(name, address string, k poolIdentity) *serverPool {
 	h := f.servers.hosts[name]
 	if h == nil || h.address != address {
@@ -47,7 +50,8 @@
 	return p
 }
 
-// evictIdle closes the server connection that has been unused for longest, in favour of one to another host.
+// evictIdle closes the server connection that has been idle for longest, to make room for another one. It
+// returns false if no connection is idle.
 func (f *SessionFront) evictIdle() bool {
 	var oldest *serverConn
 	for _, h := range f.servers.hosts {
@@ -64,15 +68,17 @@
 	return true
 }
 
-// sweepIdle retires connections well before the host may close them: one that crosses a close loses its request.
+// sweepIdle closes idle connections that have expired. They expire well before the host may close them,
+// because a request that is sent while the host closes the connection is lost. If the host takes no new work,
+// all its idle connections are closed.
 func (f *SessionFront) sweepIdle(p *serverPool, now float64) {
-	s := f.limits.Load().poolFor(p.key.database, p.key.user)
-	if s == nil {
-		s = &PoolSettings{}
+	settings := f.limits.Load().poolFor(p.key.database, p.key.user)
+	if settings == nil {
+		settings = &PoolSettings{}
 	}
-	for _, v := range slices.Clone(p.idle) {
-		if v.isExpired(s, now) || p.host.address == "" {
-			v.wire.Close()
+	for _, server := range slices.Clone(p.idle) {
+		if server.isExpired(settings, now) || p.host.address == "" {
+			server.wire.Close()
 		}
 	}
 	if len(p.idle) > 0 && !f.dispatcher.IsActive(p.host.name) {
@@ -80,7 +86,8 @@
 	}
 }
 
-// connectFailed says that a connection for the pool did not come up: who has waited longest chooses anew.
+// connectFailed handles a connection attempt of the pool that failed. The session that has waited longest is
+// routed again.
 func (p *serverPool) connectFailed(err error) {
 	code := dispatch.NoConnection
 	switch {
@@ -94,7 +101,8 @@
 	}
 }
 
-// serveWaiters gives what lies in the pool to those who wait, first come first served, and dials for the others.
+// serveWaiters gives idle connections to the waiting sessions in order of arrival, and opens connections for
+// the others.
 func (p *serverPool) serveWaiters(f *SessionFront) {
 	now := f.clock.Now()
 	for p.queue.Len() > 0 {
@@ -115,19 +123,21 @@
 	}
 }
 
-// takeIdle is the unused connection that has least to be changed for a session, of those used last; nil: there is none.
+// takeIdle takes an idle connection for a session, or returns nil if there is none. It prefers, among the
+// most recently used ones, a connection that already has the session's settings.
 func (p *serverPool) takeIdle(c *sessionClient, now float64) *serverConn {
 	for len(p.idle) > 0 {
-		at := len(p.idle) - 1
-		for i := at; i >= 0 && i > at-maxPoolSearch; i-- {
+		index := len(p.idle) - 1
+		for i := index; i >= 0 && i > index-maxPoolSearch; i-- {
 			if p.idle[i].settings.Equal(c.pipeline.Settings()) {
-				at = i
+				index = i
 				break
 			}
 		}
-		s := p.idle[at]
-		p.idle = append(p.idle[:at], p.idle[at+1:]...)
-		// What came since it was used is its end, or nothing that is asked for: it says nothing of this request.
+		s := p.idle[index]
+		p.idle = append(p.idle[:index], p.idle[index+1:]...)
+		// Data that has arrived since the last use is the end of the connection or unsolicited. It says
+		// nothing about the session's request, so the connection is discarded.
 		if s.isExpired(c.pool, now) || s.wire.Conn == nil || s.wire.BufferedBytes() > 0 || hasUnreadEvent(s.wire.Conn) {
 			s.retired = true
 			s.wire.Close()
@@ -138,11 +148,12 @@
 	return nil
 }
 
-// openForWaiters opens a connection for each that waits and has none coming, as far as the sizes allow.
+// openForWaiters opens a connection for each waiting session that no dial under way will serve, within the
+// pool's and the front's limits.
 func (p *serverPool) openForWaiters(f *SessionFront) {
 	l := f.limits.Load()
 	ps := l.poolFor(p.key.database, p.key.user)
-	if ps == nil || p.host.address == "" || !f.dispatcher.IsActive(p.host.name) { // the sweep sends those that wait elsewhere
+	if ps == nil || p.host.address == "" || !f.dispatcher.IsActive(p.host.name) { // the sweep routes the waiting sessions elsewhere
 		return
 	}
 	for n := p.queue.Len() - p.dialing; n > 0 && p.open < p.capacity(ps); n-- {
@@ -153,7 +164,8 @@
 	}
 }
 
-// capacity is how many connections the pool may have; the reserve is for sessions that keep theirs.
+// capacity is the maximum number of connections of the pool. The part of the reserve for sticky sessions that
+// they do not use is left out.
 func (p *serverPool) capacity(ps *PoolSettings) int {
 	return max(1, ps.Sizes.MaxConnections-max(0, ps.ReservedForSticky-p.retained))
 }
--- a/internal/net/pg/server_relay.go
+++ b/internal/net/pg/server_relay.go
@@ -7,51 +7,54 @@
 )
 
 const (
-	maxMessageBytes          = 1 << 30 // a length beyond this is none that a host sends
-	maxRetainedRelayBytes    = 1 << 20 // a larger buffer is not retained for what goes to clients
+	maxMessageBytes          = 1 << 30 // a host never sends a longer message
+	maxRetainedRelayBytes    = 1 << 20 // a larger buffer for data to clients is not kept for reuse
 	neverStreamedServerKinds = "ECZSKRN"
 )
 
-// streamState is a message of a host that is longer than is gathered, and is passed on as it comes. The event loop owns it.
+// streamState tracks a host's message that is too long to be buffered and is forwarded piece by piece. The
+// event loop owns it.
 type streamState struct {
-	remaining int  // bytes of it that are still to come
-	discarded bool // they are not passed on
+	remaining int  // bytes of the message still to come
+	discarded bool // the remaining bytes are not forwarded
 }
 
-// relayBatch is what came from a host at once, on its way to the client. It lives for one call of relay on the event loop.
+// relayBatch is the data read from a host at once, on its way to the client. It is used for one call of relay
+// on the event loop.
 type relayBatch struct {
-	server *serverConn
-	client *sessionClient
-	in     []byte // what was read
-	at     int    // consumed of in
-	from   int    // since where in is to be passed on as it is
-	out    []byte // what goes to the client instead of in[:from]
-	err    error  // in[at:] can't be read
-	idle   bool   // the session is done with the connection: what it sent belongs to it up to here
+	server      *serverConn
+	client      *sessionClient
+	in          []byte // the data that was read
+	consumed    int    // how many bytes of in were handled
+	forwardFrom int    // in[forwardFrom:consumed] is still to be forwarded unchanged
+	out         []byte // sent to the client in place of in[:forwardFrom]
+	err         error  // set if in[consumed:] can't be processed
+	idle        bool   // the session needs the connection no longer; data after in[:consumed] is not its own
 }
 
-// hostMessage is one message of a host.
+// hostMessage is a message from a host.
 type hostMessage struct {
 	kind     byte
 	size     int
-	complete bool   // else it is streamed
-	body     []byte // if it is complete
-	detail   string // CommandComplete: its tag; ErrorResponse: its SQLSTATE; ReadyForQuery: the status
-	text     string // ErrorResponse
+	complete bool   // the whole message was read; otherwise it is streamed
+	body     []byte // only set if the message is complete
+	detail   string // CommandComplete: the tag; ErrorResponse: the SQLSTATE; ReadyForQuery: the transaction status
+	text     string // ErrorResponse: the message text
 }
 
-// relayResult is what to do behind a message.
+// relayResult tells relay how to go on after a message.
 type relayResult uint8
 
 const (
-	relayNext     relayResult = iota // go on, unless the batch has an error
-	relayRejected                    // the host has rejected the transaction: it goes elsewhere
-	relayRestored                    // the host has answered to the session's settings
-	relayFailed                      // so, with an error
+	relayContinue         relayResult = iota // go on with the next message, unless the batch has an error
+	relayRejected                            // the host rejected the transaction, which is replayed elsewhere
+	relaySettingsRestored                    // the host accepted the session's settings
+	relaySettingsFailed                      // the host answered the session's settings with an error
 )
 
-// relay passes what the host says to the client that is linked. Messages up to maxBufferedMessageBytes are passed complete,
-// so that a connection that breaks leaves its client between two messages; longer ones are streamed.
+// relay forwards the host's messages to the linked client. Messages up to maxBufferedMessageBytes are
+// forwarded whole, so that the client is left between two messages if the connection breaks. Longer messages
+// are streamed.
 func (s *serverConn) relay() error {
 	in := s.wire.Peek()
 	if s.session == nil {
@@ -61,42 +64,43 @@
 	for k := r.client.pipeline.NextLocalReply(); k != 0; k = r.client.pipeline.NextLocalReply() {
 		r.out = appendEmpty(r.out, k)
 	}
-	for r.at < len(r.in) && !r.idle && r.err == nil {
+	for r.consumed < len(r.in) && !r.idle && r.err == nil {
 		if s.stream.remaining > 0 {
 			r.continueStream()
 			continue
 		}
 		var m hostMessage
-		if !r.next(&m) {
+		if !r.readMessage(&m) {
 			break
 		}
-		switch result := r.take(&m); result {
+		switch result := r.handleMessage(&m); result {
 		case relayRejected:
-			s.wire.Discard(r.at + m.size)
+			s.wire.Discard(r.consumed + m.size)
 			r.client.replayElsewhere(s)
 			return s.readRemaining()
-		case relayRestored, relayFailed:
-			return r.finishRestoring(&m, result == relayFailed)
+		case relaySettingsRestored, relaySettingsFailed:
+			return r.finishRestoring(&m, result == relaySettingsFailed)
 		}
 	}
 	return r.finish()
 }
 
-// continueStream takes what came of a message that is streamed.
+// continueStream handles the next bytes of a streamed message.
 func (r *relayBatch) continueStream() {
 	stream := &r.server.stream
-	n := min(stream.remaining, len(r.in)-r.at)
+	n := min(stream.remaining, len(r.in)-r.consumed)
 	if stream.discarded {
-		r.pass(r.at)
-		r.from = r.at + n
+		r.forward(r.consumed)
+		r.forwardFrom = r.consumed + n
 	}
 	stream.remaining -= n
-	r.at += n
+	r.consumed += n
 }
 
-// next reads the message that begins at r.at. false: it has to wait for the rest of it, or r.err says why it can't be read.
-func (r *relayBatch) next(m *hostMessage) bool {
-	in := r.in[r.at:]
+// readMessage reads the message that begins at in[consumed]. It returns false if the rest of the message has
+// not arrived, or if the message is invalid; in that case r.err is set.
+func (r *relayBatch) readMessage(m *hostMessage) bool {
+	in := r.in[r.consumed:]
 	if len(in) < messageHeaderBytes {
 		return false
 	}
@@ -136,56 +140,56 @@
 	return true
 }
 
-// take passes a message on, drops it or replaces it, as the session's pipeline says.
-func (r *relayBatch) take(m *hostMessage) relayResult {
+// handleMessage forwards, drops or replaces a message, as the session's pipeline decides.
+func (r *relayBatch) handleMessage(m *hostMessage) relayResult {
 	c := r.client
 	tenantClosed := m.kind == serverError && c.record.active && c.isTenantClosedError(m.detail, m.text)
 	action := c.pipeline.HandleServerMessage(m.kind, m.detail)
 	switch {
-	case tenantClosed && c.pipeline.Expected() == 1 && !action.Drop && action.Replacement == nil: // nothing ran, and the client was told nothing
-		r.at += m.size
-		r.out, r.from = r.out[:0], r.at
+	case tenantClosed && c.pipeline.Expected() == 1 && !action.Drop && action.Replacement == nil: // nothing ran, and nothing of this response was sent to the client
+		r.consumed += m.size
+		r.out, r.forwardFrom = r.out[:0], r.consumed
 		c.phase = phaseRejectedByHost
-		return relayNext
+		return relayContinue
 	case action.Ready && c.phase == phaseRejectedByHost:
 		return relayRejected
 	case action.Unexpected:
 		r.err = fmt.Errorf("%w: %q", errUnexpectedMessage, m.kind)
-		return relayNext
+		return relayContinue
 	case action.Injected && action.Failed:
-		return relayFailed
+		return relaySettingsFailed
 	case action.Injected:
-		return relayRestored
+		return relaySettingsRestored
 	case m.kind == serverParameterStatus && c.phase == phaseRestoring:
-		action.Drop = true // what differs in the end is told once all is set
+		action.Drop = true // changed parameters are sent to the client once all settings are restored
 	}
 	if m.kind == serverError {
-		c.noteHostError(m, action.Failed)
+		c.recordHostError(m, action.Failed)
 	}
 	if action.Drop || action.Replacement != nil {
-		r.pass(r.at)
-		r.from = r.at + min(m.size, len(r.in)-r.at)
+		r.forward(r.consumed)
+		r.forwardFrom = r.consumed + min(m.size, len(r.in)-r.consumed)
 		if reply := action.Replacement; reply != nil {
 			r.out = appendError(r.out, severityError, reply.SQLState, reply.Text, "")
 		}
 	}
 	if !m.complete {
-		r.server.stream = streamState{remaining: m.size - (len(r.in) - r.at), discarded: action.Drop}
-		r.at = len(r.in)
-		return relayNext
+		r.server.stream = streamState{remaining: m.size - (len(r.in) - r.consumed), discarded: action.Drop}
+		r.consumed = len(r.in)
+		return relayContinue
 	}
-	r.at += m.size
+	r.consumed += m.size
 	r.passLocalReplies()
 	if action.Ready {
 		c.transactionReady(r.server, m.detail[0])
 		r.idle = c.pipeline.Idle()
 	}
-	return relayNext
+	return relayContinue
 }
 
-// noteHostError notes what an error of the host means beside the answer that it is. ofSettings: it answers the session's
-// settings.
-func (c *sessionClient) noteHostError(m *hostMessage, ofSettings bool) {
+// recordHostError records what else an error from the host means, besides being a response. ofSettings tells
+// whether it is the response to the session's settings.
+func (c *sessionClient) recordHostError(m *hostMessage, ofSettings bool) {
 	if ofSettings {
 		c.recovery.settingsError = m.detail + " " + m.text
 	}
@@ -194,56 +198,57 @@
 	}
 }
 
-// passLocalReplies puts the answers that are the pooler's to give next behind what was consumed.
+// passLocalReplies adds the responses that the pooler itself gives next, after the data consumed so far.
 func (r *relayBatch) passLocalReplies() {
 	k := r.client.pipeline.NextLocalReply()
 	if k == 0 {
 		return
 	}
-	r.pass(r.at)
+	r.forward(r.consumed)
 	for ; k != 0; k = r.client.pipeline.NextLocalReply() {
 		r.out = appendEmpty(r.out, k)
 	}
 }
 
-// pass puts in[from:to] into out as it is.
-func (r *relayBatch) pass(to int) {
-	if to > r.from {
-		r.out = append(r.out, r.in[r.from:to]...)
+// forward appends in[forwardFrom:to] to out unchanged.
+func (r *relayBatch) forward(to int) {
+	if to > r.forwardFrom {
+		r.out = append(r.out, r.in[r.forwardFrom:to]...)
 	}
-	r.from = to
+	r.forwardFrom = to
 }
 
-// finishRestoring ends the batch behind the answer to the session's settings.
+// finishRestoring ends the batch after the response to the session's settings.
 func (r *relayBatch) finishRestoring(m *hostMessage, failed bool) error {
 	s, c := r.server, r.client
-	r.pass(r.at)
-	r.at += m.size
+	r.forward(r.consumed)
+	r.consumed += m.size
 	c.writeClient(r.out)
-	s.wire.Discard(r.at)
+	s.wire.Discard(r.consumed)
 	if s.session != c {
 		return errHostClosing
 	}
 	return c.settingsRestored(s, failed)
 }
 
-// finish writes what goes to the client and goes on from there.
+// finish writes the batch to the client, applies back pressure, and releases the connection or resumes the
+// client's input.
 func (r *relayBatch) finish() error {
 	s, c, f := r.server, r.client, r.server.front
-	if len(r.out) == 0 && r.at > r.from {
-		c.writeClient(r.in[r.from:r.at])
+	if len(r.out) == 0 && r.consumed > r.forwardFrom {
+		c.writeClient(r.in[r.forwardFrom:r.consumed])
 	} else {
-		r.pass(r.at)
+		r.forward(r.consumed)
 		c.writeClient(r.out)
 	}
 	if cap(r.out) <= maxRetainedRelayBytes {
 		f.buffers.client = r.out
 	}
-	s.wire.Discard(r.at)
+	s.wire.Discard(r.consumed)
 	if r.err != nil {
 		return r.err
 	}
-	if s.session != c { // it went while its answer was written: what is due here is nobody's
+	if s.session != c { // the session left during the write; no one needs the rest of the response
 		return errHostClosing
 	}
 	if c.wire.UnsentBytes() > highWaterBytes {
@@ -257,7 +262,7 @@
 	return s.readRemaining()
 }
 
-// readRemaining reads what is left where nobody is linked any more.
+// readRemaining reads the buffered data of a connection to which no session is linked any more.
 func (s *serverConn) readRemaining() error {
 	if s.session == nil && !s.closed && s.wire.BufferedBytes() > 0 {
 		return s.readUnsolicited(s.wire.Peek())
@@ -265,7 +270,7 @@
 	return nil
 }
 
-// readUnsolicited takes what a host says while nobody is linked.
+// readUnsolicited handles a host's messages while no session is linked.
 func (s *serverConn) readUnsolicited(b []byte) error {
 	for len(b) > 0 {
 		kind, body, rest, ok, err := nextMessage(b, maxBufferedMessageBytes)
@@ -278,11 +283,11 @@
 				return errUnexpectedMessage
 			}
 		case serverNotice:
-		case serverNotification: // nobody listens any more
+		case serverNotification: // no session is linked that could have subscribed
 		case serverError:
 			return errHostClosing
 		default:
-			return fmt.Errorf("%w: %q unasked", errUnexpectedMessage, kind)
+			return fmt.Errorf("%w: %q while no session is linked", errUnexpectedMessage, kind)
 		}
 		s.wire.Discard(len(b) - len(rest))
 		b = rest
--- a/internal/net/pg/socket.go
+++ b/internal/net/pg/socket.go
@@ -8,42 +8,45 @@
 	"golang.org/x/sys/unix"
 )
 
-// hasUnreadBytes reports whether the kernel holds bytes that were not read yet.
+// hasUnreadBytes reports whether the kernel's receive buffer holds unread bytes.
 func hasUnreadBytes(c gnet.Conn) bool {
 	n, err := peekSocket(c)
 	return err == nil && n > 0
 }
 
-// hasUnreadEvent reports whether the kernel holds bytes, or an end, that were not read yet.
+// hasUnreadEvent reports whether unread bytes, the end of the stream or a socket error are waiting in the
+// kernel.
 func hasUnreadEvent(c gnet.Conn) bool {
 	_, err := peekSocket(c)
 	return !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR)
 }
 
-// hasEnded reports whether the client's end is the next that the kernel holds.
+// hasEnded reports whether the next read would return the end of the stream or a socket error, with no bytes
+// before it.
 func hasEnded(c gnet.Conn) bool {
 	n, err := peekSocket(c)
 	return err == nil && n == 0 || err != nil && !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR)
 }
 
-// peekSocket looks how many bytes the kernel holds, up to one, without taking them.
+// peekSocket returns 1 if the kernel holds an unread byte, and 0 at the end of the stream. It consumes nothing.
 func peekSocket(c gnet.Conn) (int, error) {
 	var b [1]byte
 	n, _, err := syscall.Recvfrom(c.Fd(), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	return n, err
 }
 
-// shutdownWrite ends our side of a connection.
+// shutdownWrite closes the sending side of a connection.
 func shutdownWrite(g gnet.Conn) error { return syscall.Shutdown(g.Fd(), syscall.SHUT_WR) }
 
-// unsentBytes returns how much of what was written to a connection has not left this machine, such as before a full window: what
-// lies in the event loop's buffer, and what the kernel has not sent.
+// unsentBytes returns how many written bytes have not left this machine, for example because the peer's
+// receive window is full. It adds up the event loop's buffer and what the kernel has not sent.
 func unsentBytes(g gnet.Conn) int { return g.OutboundBuffered() + socketQueue(g, unix.SIOCOUTQNSD) }
 
-// unconfirmedBytes returns how much of it its peer has not confirmed: the kernel sends that again until it is.
+// unconfirmedBytes returns how many written bytes the peer has not acknowledged. The kernel retransmits them
+// until it has.
 func unconfirmedBytes(g gnet.Conn) int { return g.OutboundBuffered() + socketQueue(g, unix.SIOCOUTQ) }
 
-// socketQueue asks the kernel for the size of a queue of a socket; 0 where it does not tell.
+// socketQueue asks the kernel for the length of a socket's queue. It returns 0 if the kernel reports an error.
 func socketQueue(g gnet.Conn, request uint) int {
 	n, err := unix.IoctlGetInt(g.Fd(), request)
 	if err != nil {
@@ -52,12 +55,13 @@
 	return n
 }
 
-// discardUnconfirmed has nothing more go out on a connection that is about to be closed. Without it gnet writes the rest of its
-// buffer as it closes, and the kernel goes on sending what it holds: a request that was given up would become whole at its host.
+// discardUnconfirmed drops the unsent data of a connection that is about to be closed. Otherwise gnet would
+// write the rest of its buffer when it closes the connection, and the kernel would keep sending its own: an
+// abandoned request could then reach the host in full, and run.
 func discardUnconfirmed(g gnet.Conn) {
 	if unconfirmedBytes(g) == 0 {
 		return
 	}
-	_ = shutdownWrite(g) // what gnet writes from now on fails
-	_ = g.SetLinger(0)   // the kernel drops what it holds, and resets the connection
+	_ = shutdownWrite(g) // makes further writes by gnet fail
+	_ = g.SetLinger(0)   // makes the kernel drop its send buffer and reset the connection on close
 }
