--- a/internal/net/pg/dial_test.go
+++ b/internal/net/pg/dial_test.go
@@ -16,28 +16,28 @@
 	"ashstand/internal/edge"
 )
 
-// settled waits until the pool counts so many connections, and looks that as many lie in it: none is counted twice, and
-// none is leaked.
+// settled waits until the pool has exactly the given number of connections, all idle, and checks that no
+// unread bytes are counted. It finds connections that are counted twice or leaked.
 func (r *rig) settled(t *testing.T, idle int) {
 	t.Helper()
-	counts := func() (open, lie int) {
+	counts := func() (open, idleCount int) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		for _, h := range r.hosts {
-			lie += len(h.idle)
+			idleCount += len(h.idle)
 		}
-		return r.openConns, lie
+		return r.openConns, idleCount
 	}
 	require.Eventually(t, func() bool { open, lie := counts(); return open == idle && lie == idle }, 20*time.Second, time.Millisecond)
 	require.Zero(t, r.held(t), "bytes of answers that are counted, with none under way")
 }
 
-// held is what the pool counts as unread, read on the loop.
+// held returns the pool's unreadBytes, read on the event loop.
 func (r *rig) held(t *testing.T) int {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
-	g, err := r.engine.Dial(context.Background(), l.Addr().String(), idler{})
+	g, err := r.engine.Dial(context.Background(), l.Addr().String(), noopHandler{})
 	require.NoError(t, err)
 	defer g.Close()
 	n := make(chan int, 1)
@@ -48,22 +48,23 @@
 	return <-n
 }
 
-// idler is a connection that is there for its loop.
-type idler struct{}
+// noopHandler handles a connection that is only used to reach its event loop.
+type noopHandler struct{}
 
-func (idler) Traffic(gnet.Conn) gnet.Action { return gnet.None }
-func (idler) Closed(gnet.Conn, error)       {}
+func (noopHandler) Traffic(gnet.Conn) gnet.Action { return gnet.None }
+func (noopHandler) Closed(gnet.Conn, error)       {}
 
-// slow greets a connection once it is told to, and then answers every query.
-func slow(up <-chan struct{}) func(net.Conn, *pgproto3.Backend) {
+// answerAfter waits until up is closed, and then completes the handshake and answers every query.
+func answerAfter(up <-chan struct{}) func(net.Conn, *pgproto3.Backend) {
 	return func(c net.Conn, b *pgproto3.Backend) {
 		<-up
 		good(c, b)
 	}
 }
 
-// given is a dial whose attempt is given up once the host has the connection; it returns once Acquire has.
-func (r *rig) given(t *testing.T) {
+// dialAndAbandon starts a dial, abandons its attempt once the host has accepted the connection, and waits for
+// Acquire to return.
+func (r *rig) dialAndAbandon(t *testing.T) {
 	ctx, giveUp := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() {
@@ -75,12 +76,13 @@
 	require.ErrorIs(t, <-done, context.Canceled)
 }
 
-// A connection that comes up after its attempt was given up is kept, and the next request uses it: its host has paid.
+// A connection that is ready after its attempt was abandoned is kept, and the next request uses it: the host
+// has already spent the work of the handshake.
 func TestADialThatCompletesAfterItsAttempt(t *testing.T) {
 	up := make(chan struct{})
-	r := start(t, slow(up))
+	r := start(t, answerAfter(up))
 	r.SetLimits(PoolLimits{Connections: 4, ConnectTimeout: 20 * time.Second, IdleTimeout: 15 * time.Second})
-	r.given(t)
+	r.dialAndAbandon(t)
 	r.mu.Lock()
 	require.Equal(t, 1, r.openConns, "it goes on, and holds its place")
 	r.mu.Unlock()
@@ -91,11 +93,11 @@
 	r.settled(t, 1)
 }
 
-// The other order: it is up before it could be given up, and is the attempt's.
+// The other order: the connection is ready before the attempt is abandoned, and the attempt gets it.
 func TestADialThatCompletesBeforeItsAttemptIsGivenUp(t *testing.T) {
 	up := make(chan struct{})
 	close(up)
-	r := start(t, slow(up))
+	r := start(t, answerAfter(up))
 	ctx, giveUp := context.WithCancel(context.Background())
 	c, err := r.Acquire(ctx, "h")
 	require.NoError(t, err)
@@ -104,16 +106,17 @@
 	r.settled(t, 1)
 }
 
-// Of the dials to a host that are given up one goes on: a host that does not come up would else take all places.
+// Only one abandoned dial per host continues. Otherwise a host that never gets ready would use up the
+// connection limit.
 func TestOneLateDialForEachHost(t *testing.T) {
 	up := make(chan struct{})
-	r := start(t, slow(up))
+	r := start(t, answerAfter(up))
 	r.SetLimits(PoolLimits{Connections: 4, ConnectTimeout: 20 * time.Second, IdleTimeout: 15 * time.Second})
 	for range 3 {
-		r.given(t)
+		r.dialAndAbandon(t)
 	}
 	require.Eventually(t, func() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.openConns == 1 }, 20*time.Second, time.Millisecond)
-	// And it makes room where there is none: nobody waits for it.
+	// At the connection limit, the abandoned dial is evicted, because no attempt waits for it.
 	r.SetLimits(PoolLimits{Connections: 1, ConnectTimeout: 20 * time.Second, IdleTimeout: 15 * time.Second})
 	got := make(chan edge.Conn, 1)
 	go func() {
@@ -130,17 +133,19 @@
 	r.settled(t, 1)
 }
 
-// A connection that is not up after the time in the settings counts as none, whoever waits for it, and holds no place.
+// A connection that is not ready within the connect timeout is dropped, even if its attempt was abandoned,
+// and no longer counts as open.
 func TestALateDialEndsAtItsTime(t *testing.T) {
 	r := start(t, func(net.Conn, *pgproto3.Backend) {})
-	r.given(t)
+	r.dialAndAbandon(t)
 	r.settled(t, 0)
 }
 
-// A host that moves, leaves or begins to drain while it is dialled: nothing goes to where it was, the handshake neither,
-// and a connection that came up there is not used. Each at both steps of a dial: before the handshake, and during it.
+// A host changes its address, is removed or begins to drain while it is dialled. Nothing more is sent to the
+// old address, not even a handshake, and a connection that becomes ready there is not used. Each event comes
+// at both steps of a dial: before the handshake, and during it.
 func TestAHostChangesWhileItIsDialled(t *testing.T) {
-	for _, k := range []struct {
+	for _, test := range []struct {
 		name  string
 		event func(r *rig, other string, drains *atomic.Bool)
 		want  error
@@ -149,13 +154,13 @@
 		{"leaves", func(r *rig, _ string, _ *atomic.Bool) { r.SetAddress("h", "") }, errUnknownHost},
 		{"drains", func(_ *rig, _ string, drains *atomic.Bool) { drains.Store(true) }, edge.ErrUnlisted},
 	} {
-		for _, greeted := range []bool{false, true} {
-			up, asked := make(chan struct{}), make(chan struct{}, 1)
+		for _, duringHandshake := range []bool{false, true} {
+			up, startups := make(chan struct{}), make(chan struct{}, 1)
 			r := start(t, func(c net.Conn, b *pgproto3.Backend) {
 				if _, err := b.ReceiveStartupMessage(); err != nil {
 					return
 				}
-				asked <- struct{}{}
+				startups <- struct{}{}
 				<-up
 				b.Send(&pgproto3.AuthenticationOk{})
 				b.Send(&pgproto3.ReadyForQuery{TxStatus: 'I'})
@@ -166,10 +171,10 @@
 			other := start(t, good)
 			address := other.hosts["h"].address
 			var drains atomic.Bool
-			var looks atomic.Int32
+			var listedCalls atomic.Int32
 			r.Listed = func(string) bool {
-				if looks.Add(1) == 2 && !greeted { // the connection is there, and nothing was written to it
-					k.event(r, address, &drains)
+				if listedCalls.Add(1) == 2 && !duringHandshake { // the connection is established, and nothing was written to it
+					test.event(r, address, &drains)
 				}
 				return !drains.Load()
 			}
@@ -182,15 +187,15 @@
 				c, err := r.Acquire(context.Background(), "h")
 				got <- result{c, err}
 			}()
-			if greeted {
-				<-asked
-				k.event(r, address, &drains)
+			if duringHandshake {
+				<-startups
+				test.event(r, address, &drains)
 				close(up)
 			}
 			g := <-got
-			require.Empty(t, asked, "%s: it was greeted all the same", k.name)
-			if k.want != nil {
-				require.ErrorIs(t, g.err, k.want, k.name)
+			require.Empty(t, startups, "%s: it was greeted all the same", test.name)
+			if test.want != nil {
+				require.ErrorIs(t, g.err, test.want, test.name)
 				r.settled(t, 0)
 				continue
 			}
@@ -202,7 +207,8 @@
 	}
 }
 
-// Room for a new connection is made before it is dialled, not once it is up.
+// At the connection limit, an idle connection is closed before the new one is dialled, not once the new one
+// is ready.
 func TestRoomIsMadeBeforeTheDial(t *testing.T) {
 	closed := make(chan struct{})
 	r := start(t, func(c net.Conn, b *pgproto3.Backend) {
@@ -210,7 +216,7 @@
 		close(closed)
 	})
 	up := make(chan struct{})
-	other := start(t, slow(up))
+	other := start(t, answerAfter(up))
 	r.SetLimits(PoolLimits{Connections: 1, ConnectTimeout: 20 * time.Second, IdleTimeout: 15 * time.Second})
 	r.SetAddress("o", other.hosts["h"].address)
 	require.Equal(t, dispatch.OK, r.exchange(t, open).Code)
@@ -229,8 +235,8 @@
 	r.settled(t, 1)
 }
 
-// A host that closes as soon as it has accepted: the loop hears of the end before the dialler has its connection, or
-// after. It counts once, and nothing ran.
+// A host closes each connection as soon as it has accepted it. The event loop may see the end before the
+// dialling goroutine has its connection, or after. The connection is counted once, and nothing ran.
 func TestAConnectionThatEndsWhileItIsEnrolled(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		r := start(t, func(c net.Conn, _ *pgproto3.Backend) {
@@ -248,7 +254,8 @@
 	}
 }
 
-// A dial that the loop does not take: no place is lost, and none is given back twice.
+// The event loop has stopped and does not register the dialled connection: the count of open connections
+// returns to zero, and is not decremented twice.
 func TestADialThatIsNotEnrolled(t *testing.T) {
 	r := start(t, good)
 	r.engine.Stop()
@@ -261,14 +268,14 @@
 	}
 }
 
-// An idle connection that its host closes in the moment it is taken: the end comes before the write, or after it. What
-// was closed before says nothing of the host, and nothing ran; after it, the request may have run.
+// A host closes an idle connection just as a request takes it. If the end comes before the write, nothing
+// ran, and it says nothing about the host. If it comes after the write, the request may have run.
 func TestAnIdleConnectionClosesAsItIsTaken(t *testing.T) {
-	for _, k := range []struct {
-		name  string
-		first bool // the end comes before the write
-		half  bool // and half a line of the host with it
-		want  dispatch.Code
+	for _, test := range []struct {
+		name           string
+		endBeforeWrite bool // the host closes the connection before the request is written
+		partialMessage bool // the host sends a part of a message before it closes
+		want           dispatch.Code
 	}{
 		{"end, write", true, false, dispatch.NotSent},
 		{"half a line, end, write", true, true, dispatch.NotSent},
@@ -282,8 +289,8 @@
 			_, _ = c.Write(whole())
 			conns <- c
 			_, _ = b.Receive()
-			if !k.first {
-				if k.half {
+			if !test.endBeforeWrite {
+				if test.partialMessage {
 					_, _ = c.Write(whole()[:9])
 				}
 				c.Close()
@@ -292,31 +299,32 @@
 		require.Equal(t, dispatch.OK, r.exchange(t, open).Code)
 		c := <-conns
 		r.mu.Lock()
-		lies := r.hosts["h"].idle[0]
+		idleConn := r.hosts["h"].idle[0]
 		r.mu.Unlock()
 		reply := r.exchange(t, func() (float64, bool) {
-			if k.first {
-				if k.half {
+			if test.endBeforeWrite {
+				if test.partialMessage {
 					_, _ = c.Write(whole()[:9])
 				}
 				c.Close()
-				require.Eventually(t, func() bool { return hasUnreadEvent(lies.gnetConn) }, 20*time.Second, time.Millisecond)
+				require.Eventually(t, func() bool { return hasUnreadEvent(idleConn.gnetConn) }, 20*time.Second, time.Millisecond)
 			}
 			return 500, true
 		})
-		require.Equal(t, k.want, reply.Code, k.name)
-		require.Zero(t, reply.Position, k.name)
+		require.Equal(t, test.want, reply.Code, test.name)
+		require.Zero(t, reply.Position, test.name)
 		r.settled(t, 0)
 	}
 }
 
-// The session front: a host that moves, leaves or drains while a connection for its pool is dialled is not greeted, and
-// one that does so while it greets is not used. Each counts once, and is off the books. The loop is held from the dial's
-// begin until the event has come, so that nothing can be written before.
+// The same in the session front: a host changes its address, is removed or begins to drain while a connection
+// for its pool is dialled. Before the handshake, no startup message is sent; during the handshake, the
+// connection is not used. Each connection is counted once, and not at all in the end. The event loop is
+// blocked from the start of the dial until the event has come, so that nothing can be written before.
 func TestAHostChangesWhileASessionsConnectionIsDialled(t *testing.T) {
 	w := pool(t, nil)
 	w.connect("")
-	for _, k := range []struct {
+	for _, test := range []struct {
 		name  string
 		event func(address string)
 	}{
@@ -324,7 +332,7 @@
 		{"leaves", func(string) { w.front.SetAddress("a", "") }},
 		{"drains", func(string) { w.members("a") }},
 	} {
-		for _, greeted := range []bool{false, true} {
+		for _, duringHandshake := range []bool{false, true} {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
 			defer l.Close()
@@ -337,29 +345,29 @@
 				before = w.front.servers.count
 				p = w.front.pool("a", l.Addr().String(), poolIdentity{"orders", "web"})
 				w.front.openServerConn(p)
-				c, err := l.Accept() // the dial is done; the loop has not heard of it
-				if err == nil && !greeted {
-					k.event(l.Addr().String())
+				c, err := l.Accept() // the dial is complete; the event loop does not know yet
+				if err == nil && !duringHandshake {
+					test.event(l.Addr().String())
 				}
 				conns <- c
 			})
 			c := <-conns
 			_ = c.SetDeadline(time.Now().Add(20 * time.Second))
-			if greeted {
+			if duringHandshake {
 				b := pgproto3.NewBackend(c, c)
 				_, err := b.ReceiveStartupMessage()
 				require.NoError(t, err)
-				k.event(l.Addr().String())
+				test.event(l.Addr().String())
 				b.Send(&pgproto3.AuthenticationOk{})
 				b.Send(&pgproto3.ReadyForQuery{TxStatus: 'I'})
 				_ = b.Flush()
 			}
 			got, err := io.ReadAll(c)
-			require.NoError(t, err, k.name)
-			require.Empty(t, got, "%s, greeted %v", k.name, greeted)
+			require.NoError(t, err, test.name)
+			require.Empty(t, got, "%s, greeted %v", test.name, duringHandshake)
 			done := make(chan [4]int, 1)
 			w.front.onLoop(func() { done <- [4]int{w.front.servers.count - before, p.open, p.dialing, len(p.idle)} })
-			require.Equal(t, [4]int{}, <-done, "%s: servers, open, dialing, idle", k.name)
+			require.Equal(t, [4]int{}, <-done, "%s: servers, open, dialing, idle", test.name)
 		}
 	}
 }
--- a/internal/net/pg/differ_test.go
+++ b/internal/net/pg/differ_test.go
@@ -16,7 +16,7 @@
 	lab "ashstand/testbed/host"
 )
 
-// step is one thing that a client does; its text is how a failing script reads.
+// step is one action of a client. String gives its line in the report of a failing script.
 type step struct {
 	client int
 	kind   string // simple, extended, prepare, describe, run, close, pipeline, cut
@@ -31,8 +31,8 @@
 	return strings.TrimSpace(fmt.Sprintf("client %d: %-8s %s %s", s.client, s.kind, s.name, s.text))
 }
 
-// see runs a step and words all that the client can see of it.
-func see(c *pgconn.PgConn, s step) string {
+// runStep runs a step and returns a text of everything that the client can see of the result.
+func runStep(c *pgconn.PgConn, s step) string {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	var out []string
@@ -96,7 +96,7 @@
 	return strings.Join(out, " | ") + " " + string(c.TxStatus())
 }
 
-// describe asks what a prepared statement takes and gives, and words each message of the answer.
+// describe describes a prepared statement and returns a text for each message of the response.
 func describe(ctx context.Context, c *pgconn.PgConn, name string) (out []string) {
 	c.Frontend().Send(&pgproto3.Describe{ObjectType: 'S', Name: name})
 	c.Frontend().Send(&pgproto3.Sync{})
@@ -124,7 +124,9 @@
 	}
 }
 
-// code of an error: that a block was lost is told once as 40001, then as any failed block, which has no savepoints.
+// code returns the SQLSTATE of an error. A session whose transaction was lost gets 40001 once and then the
+// errors of any failed transaction, which has no savepoints. All of these map to 25P02, so that both sides
+// compare as equal.
 func code(err error) string {
 	switch s := state(err); s {
 	case "40001", "3B001", "42601": // nor is SQL parsed where there is no server
@@ -134,7 +136,7 @@
 	}
 }
 
-var differSteps = []string{
+var simpleStatements = []string{
 	"BEGIN", "BEGIN", "COMMIT", "COMMIT", "ROLLBACK", "SAVEPOINT s", "SAVEPOINT t", "ROLLBACK TO s", "ROLLBACK TO t", "RELEASE s",
 	"SET app.a TO 'it''s'", "SET app.a TO E'back\\\\slash'", "SET app.b TO grün", "SET LOCAL app.a TO 'local'", "RESET app.a", "RESET ALL",
 	"RESET application_name", "SET application_name TO 'other'", "SET search_path TO s1", "DISCARD ALL",
@@ -144,16 +146,16 @@
 	"SELECT payload FROM entries WHERE ref = 'CLIENT'", "EXECUTE p ('x')", "DEALLOCATE p", "DEALLOCATE ALL", "SELECT 'unterminated", "COMMIT AND CHAIN",
 }
 
-// differ runs a script by clients of the pooler, who share its connections, and by clients that have a server connection
-// each, and compares what they see.
-func differ(t require.TestingT, w *pooled, direct *lab.Host, steps []step, run int) (difference string) {
+// compareSessions runs a script with clients of the pooler, which share its server connections, and with
+// clients that have a server connection each. It returns the first difference in what they see, or "".
+func compareSessions(t require.TestingT, w *pooled, direct *lab.Host, steps []step, run int) (difference string) {
 	const clients = 4
-	var pooledTo, alone [clients]*pgconn.PgConn
+	var pooledConns, directConns [clients]*pgconn.PgConn
 	for i := range clients {
 		for _, to := range []struct {
 			of      *[clients]*pgconn.PgConn
 			address string
-		}{{&pooledTo, w.address}, {&alone, direct.Address}} {
+		}{{&pooledConns, w.address}, {&directConns, direct.Address}} {
 			c, err := pgconn.Connect(context.Background(), fmt.Sprintf("postgres://web@%s/orders?sslmode=disable&application_name=client%d", to.address, i))
 			require.NoError(t, err)
 			defer c.Conn().Close()
@@ -164,7 +166,7 @@
 		if s.kind == "cut" {
 			w.a.Cut()
 			time.Sleep(15 * time.Millisecond)
-			for _, c := range alone { // alone, a block has failed and its savepoints are gone
+			for _, c := range directConns { // put the direct clients' transactions into the same failed state, without savepoints
 				if c.TxStatus() != 'I' {
 					_, _ = c.Exec(context.Background(), "ROLLBACK").ReadAll()
 					_, _ = c.Exec(context.Background(), "BEGIN").ReadAll()
@@ -174,7 +176,7 @@
 			continue
 		}
 		s.text = strings.ReplaceAll(s.text, "CLIENT", fmt.Sprintf("%d-%d", run, s.client))
-		if got, want := see(pooledTo[s.client], s), see(alone[s.client], s); got != want {
+		if got, want := runStep(pooledConns[s.client], s), runStep(directConns[s.client], s); got != want {
 			return fmt.Sprintf("step %d, %v\n  pooled: %s\n  alone:  %s", i, s, got, want)
 		}
 	}
@@ -189,9 +191,9 @@
 		}).Draw(r, "kind")}
 		switch s.kind {
 		case "simple":
-			s.text = rapid.SampledFrom(differSteps).Draw(r, "text")
+			s.text = rapid.SampledFrom(simpleStatements).Draw(r, "text")
 		case "extended":
-			s.text = rapid.SampledFrom(differSteps[:len(differSteps)-5]).Draw(r, "text")
+			s.text = rapid.SampledFrom(simpleStatements[:len(simpleStatements)-5]).Draw(r, "text")
 			if strings.Contains(s.text, ";") {
 				s.text = "SELECT 'one at a time'"
 			}
@@ -206,8 +208,8 @@
 	}), 1, 30).Draw(r, "script")
 }
 
-// oncePooledSawOther are scripts whose clients once saw something else behind the pooler than alone.
-var oncePooledSawOther = map[string][]step{
+// regressionScripts are scripts whose clients once saw a difference between the pooler and a direct connection.
+var regressionScripts = map[string][]step{
 	"a statement that was closed in a lost block is gone": {
 		{3, "prepare", "SELECT 'x', $1", "q"},
 		{3, "simple", "BEGIN", ""},
@@ -233,7 +235,7 @@
 
 func TestPooledSessionsSeeWhatTheyWouldSeeAlone(t *testing.T) {
 	w := pool(t, func(l *SessionLimits) {
-		l.Pools[0].Sizes.MaxConnections = 4 // four blocks may be open at once
+		l.Pools[0].Sizes.MaxConnections = 4 // four transactions may be open at once
 		l.Pools[0].MaxPreparedStatements = 3
 		l.Pools[0].MaxSticky = 4
 	})
@@ -241,14 +243,14 @@
 	require.NoError(t, err)
 	defer direct.Stop()
 	run := 0
-	for name, steps := range oncePooledSawOther {
+	for name, steps := range regressionScripts {
 		run++
-		require.Empty(t, differ(t, w, direct, steps, run), name)
+		require.Empty(t, compareSessions(t, w, direct, steps, run), name)
 	}
 	rapid.Check(t, func(r *rapid.T) {
 		run++
 		steps := drawSteps(r)
-		if d := differ(r, w, direct, steps, run); d != "" {
+		if d := compareSessions(r, w, direct, steps, run); d != "" {
 			var script []string
 			for _, s := range steps {
 				script = append(script, s.String())
@@ -256,8 +258,8 @@
 			r.Fatalf("%s\nscript:\n  %s", d, strings.Join(script, "\n  "))
 		}
 	})
-	// The comparison can fail: with a guarantee off, a script that needs it shows a difference. One server connection,
-	// so that both clients are sure to meet on it.
+	// Check that the comparison can fail: with a guarantee switched off, a script that needs it shows a
+	// difference. There is a single server connection, so that both clients use the same one.
 	w = pool(t, func(l *SessionLimits) { l.Pools[0].Sizes.MaxConnections = 1 })
 	for guarantee, steps := range map[string][]step{
 		"settings":   {{0, "simple", "SET app.a TO 'mine'", ""}, {1, "simple", "SELECT current_setting('app.a', true)", ""}},
@@ -268,7 +270,7 @@
 		if guarantee == "statements" {
 			steps[1] = step{0, "cut", "", ""}
 		}
-		require.NotEmpty(t, differ(t, w, direct, steps, -1), guarantee)
+		require.NotEmpty(t, compareSessions(t, w, direct, steps, -1), guarantee)
 		w.front.Break("")
 	}
 }
--- a/internal/net/pg/gone_test.go
+++ b/internal/net/pg/gone_test.go
@@ -22,17 +22,18 @@
 	"ashstand/internal/session"
 )
 
-// tried is a backend that reaches no host and counts the attempts.
-type tried struct {
+// countingBackend is a backend that reaches no host and counts the attempts.
+type countingBackend struct {
 	nowhere
 	n atomic.Int64
 }
 
-func (b *tried) Acquire(ctx context.Context, host string) (edge.Conn, error) {
+func (b *countingBackend) Acquire(ctx context.Context, host string) (edge.Conn, error) {
 	b.n.Add(1)
 	return b.nowhere.Acquire(ctx, host)
 }
 
+// on runs a function on the event loop and waits for it.
 func (d *door) on(do func()) {
 	done := make(chan struct{})
 	_ = d.eventLoop.Load().(gnet.EventLoop).Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
@@ -45,16 +46,18 @@
 
 func report(id string) string { return "/* id=" + id + ",c=report,d=20000,cluster=1 */ SELECT 'k'" }
 
+// busy waits until n clients have a request in flight.
 func (d *door) busy(t *testing.T, n int) {
 	t.Helper()
 	require.Eventually(t, func() bool { return d.count(func(h *client) bool { return h.requestInFlight }) == n }, 10*time.Second, time.Millisecond)
 }
 
-// The loop is held while a client sends a request and goes: request and end lie in the kernel together, and no attempt
-// may begin for it, however the loop and the request's goroutine take turns after that.
+// The event loop is blocked while a client sends a request and disconnects, so that the kernel holds the
+// request and the end together. No attempt may begin for the request, in whatever order the event loop and
+// the request's goroutine then run.
 func TestARequestThatComesWithItsClientsEndIsNotBegun(t *testing.T) {
 	d := listen(t, FrontLimits{Clients: 100, Bytes: 1 << 20})
-	b := &tried{}
+	b := &countingBackend{}
 	errorsOf(t, d.call(t, ""), 1)
 	d.on(func() { d.edge = edge.New(d.facade, d.clock, b) })
 	for _, how := range []string{"closes", "shuts its sending", "resets"} {
@@ -82,11 +85,12 @@
 		require.Eventually(t, func() bool { return d.count(func(*client) bool { return true }) == 1 }, 10*time.Second, time.Millisecond)
 		require.Zero(t, b.n.Load(), how)
 	}
-	d.call(t, report("stays")) // in the other order: the request is begun, then the end comes
+	d.call(t, report("stays")) // in the other order: the request is begun before the end comes
 	require.Eventually(t, func() bool { return b.n.Load() == 1 }, 10*time.Second, time.Millisecond)
 }
 
-// A goodbye behind a request ends it, wherever its bytes are cut; half of one, or what only looks like one, does not.
+// A Terminate message after a request cancels the request, however its bytes are split. An incomplete
+// Terminate message, or bytes that only look like one, do not.
 func TestAGoodbyeBehindARequestEndsIt(t *testing.T) {
 	d := listen(t, FrontLimits{Clients: 16, Bytes: 1 << 20})
 	c := d.call(t, report("a"), report("b"), "X\x00\x00\x00\x04")
@@ -106,8 +110,8 @@
 	require.Zero(t, d.count(func(*client) bool { return true }))
 }
 
-// cancelled sends a cancel request and waits until it was dealt with.
-func (d *door) cancelled(t *testing.T, key uint64) {
+// sendCancel sends a cancel request and waits until it was handled.
+func (d *door) sendCancel(t *testing.T, key uint64) {
 	c, err := net.Dial("tcp", d.address)
 	require.NoError(t, err)
 	defer c.Close()
@@ -118,8 +122,9 @@
 	_, _ = io.Copy(io.Discard, c)
 }
 
-// A cancel request gives up the request that is under way on the connection it names, and nothing else: not another
-// client's, not for a key that was not given out, not what was sent ahead. It needs no place in a full table.
+// A cancel request cancels the request in flight on the connection that its key names, and nothing else: no
+// request of another client, nothing for an unknown key, and no request pipelined behind it. It is handled
+// even if the number of clients is at its limit.
 func TestACancelRequestGivesUpItsRequestAlone(t *testing.T) {
 	d := listen(t, FrontLimits{Clients: 16, Bytes: 1 << 20})
 	read := func(c net.Conn) (key uint64) {
@@ -157,20 +162,20 @@
 	send(y, report("y"))
 	d.busy(t, 2)
 	for _, wrong := range []uint64{keyX + 1, keyX &^ 0xffffffff, 0, keyY ^ 1<<32} {
-		d.cancelled(t, wrong)
+		d.sendCancel(t, wrong)
 	}
 	d.busy(t, 2)
 	for range 14 {
 		d.call(t)
 	}
 	require.Eventually(t, func() bool { return d.count(func(*client) bool { return true }) >= 14 }, 10*time.Second, time.Millisecond)
-	d.cancelled(t, keyX)
+	d.sendCancel(t, keyX)
 	require.Equal(t, []string{"ERROR 57014 "}, errorsOf(t, x, 1))
-	d.busy(t, 2) // what it sent ahead is served now
-	d.cancelled(t, keyX)
+	d.busy(t, 2) // its pipelined request is in flight now
+	d.sendCancel(t, keyX)
 	require.Equal(t, []string{"ERROR 57014 "}, errorsOf(t, x, 1))
 	d.busy(t, 1)
-	d.cancelled(t, keyX) // nothing is under way: it hits nothing
+	d.sendCancel(t, keyX) // no request is in flight, so nothing is cancelled
 	send(x, "")
 	require.Equal(t, []string{"empty"}, errorsOf(t, x, 1))
 	x.Close()
@@ -178,17 +183,18 @@
 	d.busy(t, 1)
 }
 
-// endHeardWithin is the rule's bound from a client's end.
-const endHeardWithin = 100 * time.Millisecond
+// disconnectDeadline is the time within which the end of a client must be noticed.
+const disconnectDeadline = 100 * time.Millisecond
 
-// cpuTime is the processor time that the process has used so far.
+// cpuTime returns the processor time that the process has used so far.
 func cpuTime(t *testing.T) time.Duration {
 	var usage syscall.Rusage
 	require.NoError(t, syscall.Getrusage(syscall.RUSAGE_SELF, &usage))
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// runQueueWait is for how long the threads of the process could run and had no processor; 0 where the system does not tell.
+// runQueueWait returns how long the threads of the process were runnable without a processor; 0 if the system
+// does not report it.
 func runQueueWait() (total time.Duration) {
 	files, _ := filepath.Glob("/proc/self/task/*/schedstat")
 	for _, file := range files {
@@ -204,14 +210,15 @@
 	return total
 }
 
-// 500 clients leave at once, each with a request under way. Asserts the bound of the rule, 100 ms, from the last close to
-// the last request that is given up, less the time in which the process could run and other processes had the processors.
-func TestABurstOfClientsThatLeaveIsHeardInTime(t *testing.T) { burst(t, 0) }
+// 500 clients disconnect at once, each with a request in flight. Asserts that at most 100 ms pass from the
+// last close until the last request is cancelled, not counting the time in which the process was runnable and
+// other processes had the processors.
+func TestABurstOfClientsThatLeaveIsHeardInTime(t *testing.T) { testDisconnectBurst(t, 0) }
 
-// The same while others flood the loop with short requests that are refused.
-func TestABurstBesideFloodsIsHeardInTime(t *testing.T) { burst(t, 40) }
+// The same while other clients flood the event loop with short requests that are rejected.
+func TestABurstBesideFloodsIsHeardInTime(t *testing.T) { testDisconnectBurst(t, 40) }
 
-func burst(t *testing.T, flood int) {
+func testDisconnectBurst(t *testing.T, flood int) {
 	d := listen(t, FrontLimits{Clients: 700, Bytes: 64 << 20})
 	var all []net.Conn
 	for i := range 500 {
@@ -232,7 +239,7 @@
 	}
 	used, waited := cpuTime(t), runQueueWait()
 	closed := time.Now()
-	if flood == 0 { // up to the last one's place in the decisions
+	if flood == 0 { // also wait until the router has no request in flight
 		<-d.edge.Drain()
 	}
 	require.Eventually(t, func() bool { return d.count(func(h *client) bool { return h.number <= 500 }) == 0 }, 5*time.Second, 100*time.Microsecond)
@@ -240,12 +247,13 @@
 	used, waited = cpuTime(t)-used, runQueueWait()-waited
 	t.Logf("%d floods: 500 closed in %v, the last one heard %v after that; %v of processor time, %v of waiting for a processor",
 		flood, closed.Sub(begun), took, used, waited)
-	require.Less(t, took-waited, endHeardWithin)
-	require.Less(t, used, endHeardWithin)
+	require.Less(t, took-waited, disconnectDeadline)
+	require.Less(t, used, disconnectDeadline)
 }
 
-// A session that waits sends so much that it is not read any more, and goes. Its place in the queue is free, and its
-// transaction is not sent when a connection is.
+// A session that waits for a connection sends so much that the front stops reading from it, and then
+// disconnects. Its place in the queue becomes free, and its transaction is not sent when a connection becomes
+// available.
 func TestAPausedSessionThatHasGoneIsHeard(t *testing.T) {
 	for _, how := range []string{"closes", "resets"} {
 		w := pool(t, func(l *SessionLimits) {
@@ -285,14 +293,14 @@
 	}
 }
 
-// A session cancels while its connection is brought to its settings. Whatever happens to that connection next, the
-// transaction is not sent on: here it breaks, or its host begins to drain.
+// A session cancels while its settings are being restored on a connection. Its transaction is not sent,
+// whatever happens to that connection next: it becomes ready, it breaks, or its host begins to drain.
 func TestACancelWhileSettingsAreRestoredHoldsOnTheNextConnection(t *testing.T) {
 	for _, then := range []string{"it is ready", "it breaks", "it drains"} {
 		w := housed(t, nil)
 		c := w.connect("")
 		other := w.connect("")
-		w.exec(other, "SET app.slow TO 1") // which c's transaction has to find gone, but on a new connection
+		w.exec(other, "SET app.slow TO 1") // c's transaction must not see this setting, unless it gets a new connection
 		release := make(chan struct{})
 		w.gate.slow.Store(&release)
 		slowed := w.gate.slowed.Load()
@@ -320,7 +328,7 @@
 		require.Equal(t, "57014", state(<-out), then)
 		w.gate.slow.Store(nil)
 		w.members()
-		require.Eventually(t, func() bool { // who is the primary is looked for again
+		require.Eventually(t, func() bool { // the router may have to find the primary again
 			_, err := c.Exec(patient(t), w.insert("next"))
 			return err == nil
 		}, 10*time.Second, 10*time.Millisecond, then)
@@ -328,7 +336,8 @@
 	}
 }
 
-// A session cancels while a host that turned its transaction away has not yet said all: it does not go elsewhere.
+// A session cancels while the host that rejected its transaction has not sent its whole response. The
+// transaction is not sent to another host.
 func TestACancelWhileAHostTurnsATransactionAwayHolds(t *testing.T) {
 	w := housed(t, nil)
 	c := w.connect("")
--- a/internal/net/pg/pool_test.go
+++ b/internal/net/pg/pool_test.go
@@ -18,13 +18,14 @@
 	"ashstand/internal/sqlcomment"
 )
 
-// rig is a pool with one stand-in host, whose connections the test is handed.
+// rig is a pool with one fake host, whose accepted connections are sent to conns.
 type rig struct {
 	*Pool
 	clock *clock.Manual
 	conns chan net.Conn
 }
 
+// start starts a pool and a fake host "h" that runs serve for each connection.
 func start(t *testing.T, serve func(c net.Conn, b *pgproto3.Backend)) *rig {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -48,6 +49,7 @@
 	return r
 }
 
+// welcome completes the handshake.
 func welcome(b *pgproto3.Backend) {
 	_, _ = b.ReceiveStartupMessage()
 	b.Send(&pgproto3.AuthenticationOk{})
@@ -55,7 +57,7 @@
 	_ = b.Flush()
 }
 
-// good answers every query.
+// good completes the handshake and answers every query.
 func good(_ net.Conn, b *pgproto3.Backend) {
 	for welcome(b); ; _ = b.Flush() {
 		if _, err := b.Receive(); err != nil {
@@ -84,8 +86,8 @@
 	return c.Exchange(ctx, &s, gate)
 }
 
-// Guards against a request written to a connection that its host is about to close for being idle: that ends
-// as a reset, and a donate is lost over it.
+// Guards against a request written to an idle connection that its host is about to close: the request ends in
+// a reset, and a write is lost.
 func TestConnectionsRetireBeforeTheIdleLimit(t *testing.T) {
 	r := start(t, good)
 	require.Equal(t, dispatch.OK, r.exchange(t, open).Code)
@@ -100,7 +102,7 @@
 	require.Eventually(t, func() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.openConns == 0 }, 10*time.Second, time.Millisecond)
 }
 
-// Guards against a late answer that reaches the next request on its connection.
+// Guards against a late answer that is given to the next request on the same connection.
 func TestAConnectionWithAnAnswerDueIsNotUsedAgain(t *testing.T) {
 	r := start(t, func(c net.Conn, b *pgproto3.Backend) { welcome(b) }) // answers nothing
 	require.Equal(t, dispatch.NoAnswer, r.exchange(t, open).Code)
@@ -108,8 +110,8 @@
 	require.Len(t, r.conns, 2)
 }
 
-// Guards against a good answer that is thrown away for what came behind it, and above all against a second copy that
-// is served to the next request.
+// Guards against a valid answer that is discarded because of bytes after it, and above all against a second
+// copy of an answer that is given to the next request.
 func TestWhatComesBehindAnAnswerIsNobodys(t *testing.T) {
 	second := make(chan struct{})
 	r := start(t, func(c net.Conn, b *pgproto3.Backend) {
@@ -139,7 +141,7 @@
 	require.Len(t, r.conns, 2, "the first is not used again")
 	require.Equal(t, dispatch.OK, r.send(t, text("later"), open).Code)
 	<-second
-	require.Equal(t, dispatch.NotSent, func() dispatch.Code { // whichever comes first: it is seen, or has been
+	require.Equal(t, dispatch.NotSent, func() dispatch.Code { // the second copy may arrive before the connection is returned, or after it
 		if code := r.send(t, text("once"), open).Code; code != dispatch.OK {
 			return code
 		}
@@ -148,14 +150,15 @@
 	}())
 }
 
-// Guards against a host that answers with noise: it ran, it teaches nothing, and its connection is not used again.
+// A host answers with garbage: the request may have run, nothing is learned from the answer, and the
+// connection is not used again.
 func TestASpoiltAnswer(t *testing.T) {
-	spoilt := [][]byte{
+	malformed := [][]byte{
 		{'D', 0xb2, 0xd0, 0x5e, 0, 0},
 		[]byte("noise that is no message"), appendReady(appendCommandComplete(nil, "SELECT 0")),
 		appendMessage(nil, 'S', func(b []byte) []byte { return append(b, make([]byte, 70<<10)...) }),
 	}
-	for i, noise := range spoilt {
+	for i, noise := range malformed {
 		r := start(t, func(c net.Conn, b *pgproto3.Backend) {
 			welcome(b)
 			_, _ = b.Receive()
@@ -172,8 +175,8 @@
 	}
 }
 
-// Guards against hosts that together fill the memory with answers that never end, and against bounds of our own that
-// are taken for a fault of the host.
+// Guards against hosts that together fill the memory with answers that never end, and against the pool's own
+// limits being reported as a fault of the host.
 func TestOurOwnBounds(t *testing.T) {
 	r := start(t, func(c net.Conn, b *pgproto3.Backend) {
 		welcome(b)
@@ -193,7 +196,7 @@
 	require.ErrorIs(t, err, edge.ErrPoolExhausted)
 }
 
-// A closed gate writes nothing, and the connection is good for the next.
+// If the gate does not open, nothing is written, and the next request uses the connection.
 func TestAClosedGateWritesNothing(t *testing.T) {
 	r := start(t, good)
 	require.Equal(t, dispatch.NotSent, r.exchange(t, func() (float64, bool) { return 0, false }).Code)
@@ -202,20 +205,20 @@
 	require.Equal(t, dispatch.NotSent, r.Probe(context.Background(), "h", func(string) bool { return false }).Code)
 }
 
-// What a dial proves: a host that turns connections away is full, one that says nothing is not up.
+// A host that rejects connections is at capacity. A host that never responds makes the dial time out.
 func TestDialsThatFail(t *testing.T) {
-	full := start(t, func(c net.Conn, b *pgproto3.Backend) {
+	fullHost := start(t, func(c net.Conn, b *pgproto3.Backend) {
 		_, _ = b.ReceiveStartupMessage()
 		b.Send(&pgproto3.ErrorResponse{Severity: "FATAL", Code: "53300", Message: "too many connections"})
 		_ = b.Flush()
 		c.Close()
 	})
-	_, err := full.Acquire(context.Background(), "h")
+	_, err := fullHost.Acquire(context.Background(), "h")
 	require.ErrorIs(t, err, edge.ErrHostRejected)
-	dumb := start(t, func(net.Conn, *pgproto3.Backend) {})
-	_, err = dumb.Acquire(context.Background(), "h")
+	silentHost := start(t, func(net.Conn, *pgproto3.Backend) {})
+	_, err = silentHost.Acquire(context.Background(), "h")
 	require.ErrorIs(t, err, context.DeadlineExceeded)
 	require.NotErrorIs(t, err, edge.ErrHostRejected)
-	_, err = dumb.Acquire(context.Background(), "nobody")
+	_, err = silentHost.Acquire(context.Background(), "nobody")
 	require.Error(t, err)
 }
--- a/internal/net/pg/unsent_test.go
+++ b/internal/net/pg/unsent_test.go
@@ -19,11 +19,11 @@
 	"ashstand/internal/sqlcomment"
 )
 
-// slowReader is a host that reads a request once it is told to, and counts its bytes.
+// slowReader is a host that reads a request only after read is closed, and counts its bytes.
 type slowReader struct {
-	read     chan struct{} // closed to have it read
-	received atomic.Int64  // bytes behind the handshake
-	size     atomic.Int64  // of the request, by its header; 0: that has not come
+	read     chan struct{} // the test closes it to let the host read
+	received atomic.Int64  // bytes received after the handshake
+	size     atomic.Int64  // size of the request according to its header; 0 until the header arrives
 	ended    chan struct{} // closed at the end of the connection
 }
 
@@ -44,16 +44,17 @@
 	}
 }
 
-// isWhole reports whether the host got all of the request: from then on it runs.
+// isWhole reports whether the host received the whole request, and would run it.
 func (s *slowReader) isWhole() bool { return s.size.Load() > 0 && s.received.Load() >= s.size.Load() }
 
-// An attempt ends while a part of its request has not reached the host: the host hangs or reads slowly. It has to stay a part.
-// Sent on, it would run for nobody, after its client has gone, and beside the attempt that was made in its place.
+// An attempt ends while a part of its request has not reached the host, because the host hangs or reads
+// slowly. The rest must not be sent. Otherwise the request would run after its client has left, or in
+// addition to the attempt that replaced it.
 func TestWhatIsLeftOfAnEndedAttemptIsNotSent(t *testing.T) {
 	const size = 150 << 10
-	for _, k := range []struct {
+	for _, test := range []struct {
 		name        string
-		writeBuffer int // of our socket: whether the rest lies in the kernel or in the event loop's buffer
+		writeBuffer int // size of the pooler's socket buffer; decides whether the rest lies in the kernel or the event loop
 		end         func(l gnet.EventLoop, c *conn, giveUp func())
 		code        dispatch.Code
 	}{
@@ -61,7 +62,7 @@
 		{"given up, the rest in the event loop's buffer", 48 << 10, func(_ gnet.EventLoop, _ *conn, giveUp func()) { giveUp() }, dispatch.Cancelled},
 		{"closed as at the host's half-close", 48 << 10, func(l gnet.EventLoop, c *conn, _ func()) { _ = l.Close(c.gnetConn) }, dispatch.NoConnection},
 	} {
-		t.Run(k.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			s := &slowReader{read: make(chan struct{}), ended: make(chan struct{})}
 			r := start(t, s.serve)
 			r.SetLimits(PoolLimits{Connections: 4, ConnectTimeout: 20 * time.Second, IdleTimeout: 15 * time.Second})
@@ -69,7 +70,7 @@
 			c := r.acquired(t)
 			host := <-r.conns
 			_ = host.(*net.TCPConn).SetReadBuffer(16 << 10)
-			require.NoError(t, c.gnetConn.SetWriteBuffer(k.writeBuffer))
+			require.NoError(t, c.gnetConn.SetWriteBuffer(test.writeBuffer))
 			statement, err := sqlcomment.Parse(plain + " -- " + strings.Repeat("x", size))
 			require.NoError(t, err)
 			ctx, giveUp := context.WithCancel(context.Background())
@@ -91,25 +92,25 @@
 			require.NoError(t, l.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
 				close(held)
 				<-release
-				k.end(l, c, giveUp)
+				test.end(l, c, giveUp)
 				return nil
 			})))
 			<-held
-			if left > 0 { // the host takes what lies in the kernel while the loop stands still: the rest could be written now
+			if left > 0 { // the host reads what the kernel holds while the event loop is blocked, so the rest could be written now
 				close(s.read)
 				require.Eventually(t, func() bool {
 					return s.size.Load() > 0 && s.received.Load() == s.size.Load()-int64(left)
 				}, 10*time.Second, time.Millisecond)
 			}
-			if k.code == dispatch.Cancelled { // before the loop goes on, so that it finds the attempt given up
+			if test.code == dispatch.Cancelled { // before the event loop continues, so that it finds the attempt abandoned
 				giveUp()
-				require.Equal(t, k.code, (<-replies).Code)
+				require.Equal(t, test.code, (<-replies).Code)
 			}
 			close(release)
-			if k.code != dispatch.Cancelled {
-				require.Equal(t, k.code, (<-replies).Code, "the last byte was never written: it did not run")
+			if test.code != dispatch.Cancelled {
+				require.Equal(t, test.code, (<-replies).Code, "the last byte was never written: it did not run")
 			}
-			r.stop(t, l)() // what ends the attempt was queued before this
+			r.stop(t, l)() // the function that ends the attempt was queued before this one
 			if left == 0 {
 				close(s.read)
 			}
@@ -123,7 +124,8 @@
 	}
 }
 
-// A host takes a part of a request and no more. The attempt ends in time, as one that never ran, and stays a part.
+// A host reads only a part of a request. The attempt ends within the time limit as one that never ran, and
+// the rest of the request is not sent.
 func TestARequestThatIsNotWrittenInTimeNeverRan(t *testing.T) {
 	s := &slowReader{read: make(chan struct{}), ended: make(chan struct{})}
 	r := start(t, s.serve)
