--- a/internal/net/pg/dial_test.go
+++ b/internal/net/pg/dial_test.go
@@ -78,7 +78,7 @@
 
 // A connection that is ready after its attempt was abandoned is kept, and the next request uses it: the host
 // has already spent the work of the handshake.
-func TestADialThatCompletesAfterItsAttempt(t *testing.T) {
+func TestDialCompletesAfterAttemptIsAbandoned(t *testing.T) {
 	up := make(chan struct{})
 	r := start(t, answerAfter(up))
 	r.SetLimits(PoolLimits{Connections: 4, ConnectTimeout: 20 * time.Second, IdleTimeout: 15 * time.Second})
@@ -94,7 +94,7 @@
 }
 
 // The other order: the connection is ready before the attempt is abandoned, and the attempt gets it.
-func TestADialThatCompletesBeforeItsAttemptIsGivenUp(t *testing.T) {
+func TestDialCompletesBeforeAttemptIsAbandoned(t *testing.T) {
 	up := make(chan struct{})
 	close(up)
 	r := start(t, answerAfter(up))
@@ -108,7 +108,7 @@
 
 // Only one abandoned dial per host continues. Otherwise a host that never gets ready would use up the
 // connection limit.
-func TestOneLateDialForEachHost(t *testing.T) {
+func TestOneAbandonedDialPerHost(t *testing.T) {
 	up := make(chan struct{})
 	r := start(t, answerAfter(up))
 	r.SetLimits(PoolLimits{Connections: 4, ConnectTimeout: 20 * time.Second, IdleTimeout: 15 * time.Second})
@@ -135,7 +135,7 @@
 
 // A connection that is not ready within the connect timeout is dropped, even if its attempt was abandoned,
 // and no longer counts as open.
-func TestALateDialEndsAtItsTime(t *testing.T) {
+func TestAbandonedDialTimesOut(t *testing.T) {
 	r := start(t, func(net.Conn, *pgproto3.Backend) {})
 	r.dialAndAbandon(t)
 	r.settled(t, 0)
@@ -144,7 +144,7 @@
 // A host changes its address, is removed or begins to drain while it is dialled. Nothing more is sent to the
 // old address, not even a handshake, and a connection that becomes ready there is not used. Each event comes
 // at both steps of a dial: before the handshake, and during it.
-func TestAHostChangesWhileItIsDialled(t *testing.T) {
+func TestHostChangesDuringDial(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		event func(r *rig, other string, drains *atomic.Bool)
@@ -209,7 +209,7 @@
 
 // At the connection limit, an idle connection is closed before the new one is dialled, not once the new one
 // is ready.
-func TestRoomIsMadeBeforeTheDial(t *testing.T) {
+func TestIdleConnectionIsEvictedBeforeDial(t *testing.T) {
 	closed := make(chan struct{})
 	r := start(t, func(c net.Conn, b *pgproto3.Backend) {
 		good(c, b)
@@ -237,7 +237,7 @@
 
 // A host closes each connection as soon as it has accepted it. The event loop may see the end before the
 // dialling goroutine has its connection, or after. The connection is counted once, and nothing ran.
-func TestAConnectionThatEndsWhileItIsEnrolled(t *testing.T) {
+func TestConnectionEndsDuringRegistration(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		r := start(t, func(c net.Conn, _ *pgproto3.Backend) {
 			if reset {
@@ -256,7 +256,7 @@
 
 // The event loop has stopped and does not register the dialled connection: the count of open connections
 // returns to zero, and is not decremented twice.
-func TestADialThatIsNotEnrolled(t *testing.T) {
+func TestDialNotRegisteredByEventLoop(t *testing.T) {
 	r := start(t, good)
 	r.engine.Stop()
 	for range 8 {
@@ -270,7 +270,7 @@
 
 // A host closes an idle connection just as a request takes it. If the end comes before the write, nothing
 // ran, and it says nothing about the host. If it comes after the write, the request may have run.
-func TestAnIdleConnectionClosesAsItIsTaken(t *testing.T) {
+func TestIdleConnectionClosesWhenAcquired(t *testing.T) {
 	for _, test := range []struct {
 		name           string
 		endBeforeWrite bool // the host closes the connection before the request is written
@@ -321,7 +321,7 @@
 // for its pool is dialled. Before the handshake, no startup message is sent; during the handshake, the
 // connection is not used. Each connection is counted once, and not at all in the end. The event loop is
 // blocked from the start of the dial until the event has come, so that nothing can be written before.
-func TestAHostChangesWhileASessionsConnectionIsDialled(t *testing.T) {
+func TestHostChangesDuringSessionDial(t *testing.T) {
 	w := pool(t, nil)
 	w.connect("")
 	for _, test := range []struct {
--- a/internal/net/pg/differ_test.go
+++ b/internal/net/pg/differ_test.go
@@ -233,7 +233,7 @@
 	},
 }
 
-func TestPooledSessionsSeeWhatTheyWouldSeeAlone(t *testing.T) {
+func TestPooledSessionsMatchDirectConnections(t *testing.T) {
 	w := pool(t, func(l *SessionLimits) {
 		l.Pools[0].Sizes.MaxConnections = 4 // four transactions may be open at once
 		l.Pools[0].MaxPreparedStatements = 3
--- a/internal/net/pg/gone_test.go
+++ b/internal/net/pg/gone_test.go
@@ -55,7 +55,7 @@
 // The event loop is blocked while a client sends a request and disconnects, so that the kernel holds the
 // request and the end together. No attempt may begin for the request, in whatever order the event loop and
 // the request's goroutine then run.
-func TestARequestThatComesWithItsClientsEndIsNotBegun(t *testing.T) {
+func TestRequestArrivingWithDisconnectIsNotBegun(t *testing.T) {
 	d := listen(t, FrontLimits{Clients: 100, Bytes: 1 << 20})
 	b := &countingBackend{}
 	errorsOf(t, d.call(t, ""), 1)
@@ -91,7 +91,7 @@
 
 // A Terminate message after a request cancels the request, however its bytes are split. An incomplete
 // Terminate message, or bytes that only look like one, do not.
-func TestAGoodbyeBehindARequestEndsIt(t *testing.T) {
+func TestTerminateAfterRequestCancelsIt(t *testing.T) {
 	d := listen(t, FrontLimits{Clients: 16, Bytes: 1 << 20})
 	c := d.call(t, report("a"), report("b"), "X\x00\x00\x00\x04")
 	d.busy(t, 1)
@@ -125,7 +125,7 @@
 // A cancel request cancels the request in flight on the connection that its key names, and nothing else: no
 // request of another client, nothing for an unknown key, and no request pipelined behind it. It is handled
 // even if the number of clients is at its limit.
-func TestACancelRequestGivesUpItsRequestAlone(t *testing.T) {
+func TestCancelRequestCancelsOnlyItsRequest(t *testing.T) {
 	d := listen(t, FrontLimits{Clients: 16, Bytes: 1 << 20})
 	read := func(c net.Conn) (key uint64) {
 		f := pgproto3.NewFrontend(c, io.Discard)
@@ -213,10 +213,10 @@
 // 500 clients disconnect at once, each with a request in flight. Asserts that at most 100 ms pass from the
 // last close until the last request is cancelled, not counting the time in which the process was runnable and
 // other processes had the processors.
-func TestABurstOfClientsThatLeaveIsHeardInTime(t *testing.T) { testDisconnectBurst(t, 0) }
+func TestDisconnectBurstIsNoticedInTime(t *testing.T) { testDisconnectBurst(t, 0) }
 
 // The same while other clients flood the event loop with short requests that are rejected.
-func TestABurstBesideFloodsIsHeardInTime(t *testing.T) { testDisconnectBurst(t, 40) }
+func TestDisconnectBurstDuringFloodIsNoticedInTime(t *testing.T) { testDisconnectBurst(t, 40) }
 
 func testDisconnectBurst(t *testing.T, flood int) {
 	d := listen(t, FrontLimits{Clients: 700, Bytes: 64 << 20})
@@ -254,7 +254,7 @@
 // A session that waits for a connection sends so much that the front stops reading from it, and then
 // disconnects. Its place in the queue becomes free, and its transaction is not sent when a connection becomes
 // available.
-func TestAPausedSessionThatHasGoneIsHeard(t *testing.T) {
+func TestDisconnectOfPausedSessionIsNoticed(t *testing.T) {
 	for _, how := range []string{"closes", "resets"} {
 		w := pool(t, func(l *SessionLimits) {
 			l.Pools[0].Sizes.MaxConnections, l.Pools[0].WaitTimeoutMillis, l.Message = 1, 20000, 64<<10
@@ -295,7 +295,7 @@
 
 // A session cancels while its settings are being restored on a connection. Its transaction is not sent,
 // whatever happens to that connection next: it becomes ready, it breaks, or its host begins to drain.
-func TestACancelWhileSettingsAreRestoredHoldsOnTheNextConnection(t *testing.T) {
+func TestCancelDuringSettingsRestoreSurvivesReconnect(t *testing.T) {
 	for _, then := range []string{"it is ready", "it breaks", "it drains"} {
 		w := housed(t, nil)
 		c := w.connect("")
@@ -338,7 +338,7 @@
 
 // A session cancels while the host that rejected its transaction has not sent its whole response. The
 // transaction is not sent to another host.
-func TestACancelWhileAHostTurnsATransactionAwayHolds(t *testing.T) {
+func TestCancelDuringHostRejectionIsKept(t *testing.T) {
 	w := housed(t, nil)
 	c := w.connect("")
 	w.exec(c, w.insert("before"))
--- a/internal/net/pg/pool_test.go
+++ b/internal/net/pg/pool_test.go
@@ -88,7 +88,7 @@
 
 // Guards against a request written to an idle connection that its host is about to close: the request ends in
 // a reset, and a write is lost.
-func TestConnectionsRetireBeforeTheIdleLimit(t *testing.T) {
+func TestIdleConnectionsExpireBeforeHostTimeout(t *testing.T) {
 	r := start(t, good)
 	require.Equal(t, dispatch.OK, r.exchange(t, open).Code)
 	r.clock.Advance(9000)
@@ -103,7 +103,7 @@
 }
 
 // Guards against a late answer that is given to the next request on the same connection.
-func TestAConnectionWithAnAnswerDueIsNotUsedAgain(t *testing.T) {
+func TestConnectionAwaitingResponseIsNotReused(t *testing.T) {
 	r := start(t, func(c net.Conn, b *pgproto3.Backend) { welcome(b) }) // answers nothing
 	require.Equal(t, dispatch.NoAnswer, r.exchange(t, open).Code)
 	require.Equal(t, dispatch.NoAnswer, r.exchange(t, open).Code)
@@ -112,7 +112,7 @@
 
 // Guards against a valid answer that is discarded because of bytes after it, and above all against a second
 // copy of an answer that is given to the next request.
-func TestWhatComesBehindAnAnswerIsNobodys(t *testing.T) {
+func TestBytesAfterResponseCloseConnection(t *testing.T) {
 	second := make(chan struct{})
 	r := start(t, func(c net.Conn, b *pgproto3.Backend) {
 		for welcome(b); ; {
@@ -152,7 +152,7 @@
 
 // A host answers with garbage: the request may have run, nothing is learned from the answer, and the
 // connection is not used again.
-func TestASpoiltAnswer(t *testing.T) {
+func TestMalformedResponseClosesConnection(t *testing.T) {
 	malformed := [][]byte{
 		{'D', 0xb2, 0xd0, 0x5e, 0, 0},
 		[]byte("noise that is no message"), appendReady(appendCommandComplete(nil, "SELECT 0")),
@@ -177,7 +177,7 @@
 
 // Guards against hosts that together fill the memory with answers that never end, and against the pool's own
 // limits being reported as a fault of the host.
-func TestOurOwnBounds(t *testing.T) {
+func TestPoolLimits(t *testing.T) {
 	r := start(t, func(c net.Conn, b *pgproto3.Backend) {
 		welcome(b)
 		_, _ = b.Receive()
@@ -197,7 +197,7 @@
 }
 
 // If the gate does not open, nothing is written, and the next request uses the connection.
-func TestAClosedGateWritesNothing(t *testing.T) {
+func TestClosedGateWritesNothing(t *testing.T) {
 	r := start(t, good)
 	require.Equal(t, dispatch.NotSent, r.exchange(t, func() (float64, bool) { return 0, false }).Code)
 	require.Equal(t, dispatch.OK, r.exchange(t, open).Code)
@@ -206,7 +206,7 @@
 }
 
 // A host that rejects connections is at capacity. A host that never responds makes the dial time out.
-func TestDialsThatFail(t *testing.T) {
+func TestFailedDials(t *testing.T) {
 	fullHost := start(t, func(c net.Conn, b *pgproto3.Backend) {
 		_, _ = b.ReceiveStartupMessage()
 		b.Send(&pgproto3.ErrorResponse{Severity: "FATAL", Code: "53300", Message: "too many connections"})
--- a/internal/net/pg/unsent_test.go
+++ b/internal/net/pg/unsent_test.go
@@ -50,7 +50,7 @@
 // An attempt ends while a part of its request has not reached the host, because the host hangs or reads
 // slowly. The rest must not be sent. Otherwise the request would run after its client has left, or in
 // addition to the attempt that replaced it.
-func TestWhatIsLeftOfAnEndedAttemptIsNotSent(t *testing.T) {
+func TestRestOfEndedAttemptIsNotSent(t *testing.T) {
 	const size = 150 << 10
 	for _, test := range []struct {
 		name        string
@@ -126,7 +126,7 @@
 
 // A host reads only a part of a request. The attempt ends within the time limit as one that never ran, and
 // the rest of the request is not sent.
-func TestARequestThatIsNotWrittenInTimeNeverRan(t *testing.T) {
+func TestRequestNotWrittenInTimeNeverRan(t *testing.T) {
 	s := &slowReader{read: make(chan struct{}), ended: make(chan struct{})}
 	r := start(t, s.serve)
 	r.SetLimits(PoolLimits{Connections: 4, ConnectTimeout: 20 * time.Second, IdleTimeout: 15 * time.Second})
--- a/internal/net/pg/wear_test.go
+++ b/internal/net/pg/wear_test.go
@@ -9,7 +9,7 @@
 
 // Guards against requests written to idle connections that were silently dropped, and against dialling a new
 // connection for every request where resets do not depend on the idle time.
-func TestWearFindsTheAgeFromWhichConnectionsAreDropped(t *testing.T) {
+func TestStalenessFindsIdleTimeOfDroppedConnections(t *testing.T) {
 	var w staleness
 	now := 1e12
 	for i := range 400 { // one in 21 is reset at any idle time
