--- a/internal/cluster/consensus/client.go
+++ b/internal/cluster/consensus/client.go
@@ -7,24 +7,32 @@
 	"ashstand/internal/cluster/jobs"
 )
 
-// rulesFormat is the format of the rules that this program writes.
+// rulesFormat is the version of the rules format that this program writes.
 const rulesFormat = 1
 
 const (
-	maxNonces = 32 // lease requests whose grant is still taken
-	// redirectAfter is after how many requests without a lease the leader is looked for anew.
-	redirectAfter = 3
+	// maxNonces is the number of latest lease requests whose grants are still accepted.
+	maxNonces = 32
+	// requestsBeforeLeaderSearch is the number of requests without a lease after which the client looks for the leader
+	// again.
+	requestsBeforeLeaderSearch = 3
 )
 
-// leaseClient is a pooler's side of leases and proposals, whether it votes or not.
+// leaseClient is the part of a node that requests leases and makes proposals. Voters and other poolers have
+// one.
 type leaseClient struct {
-	expiresAt float64            // of the lease
-	sentAt    map[uint64]float64 // of the latest lease requests, by nonce
-	nonce     uint64             // of the latest; each request has the next number
-	renewAt   float64
-	leader    string             // "": unknown
-	nextVoter int                // to be asked while the leader is unknown, an index of Config.Voters
-	proposals map[uint64]Payload // without a result, by ID
+	// expiresAt is when the lease expires.
+	expiresAt float64
+	// sentAt holds the times at which the latest lease requests were sent, by nonce.
+	sentAt map[uint64]float64
+	// nonce is that of the latest lease request. Each request increments it.
+	nonce   uint64
+	renewAt float64
+	leader  string // "": unknown
+	// nextVoter is the index in Config.Voters of the voter to ask next while the leader is unknown.
+	nextVoter int
+	// proposals holds the proposals without a result, by ID.
+	proposals map[uint64]Payload
 	jobs      jobCache
 	report    jobs.Report
 }
@@ -33,8 +41,8 @@
 	return leaseClient{expiresAt: longAgo, sentAt: map[uint64]float64{}, renewAt: now, proposals: map[uint64]Payload{}}
 }
 
-// Propose asks for a version with these rules. The result is part of some later Output. A proposal that is made again under
-// the same ID counts once.
+// Propose proposes a version with these rules. A later Output contains the result. Proposals are idempotent:
+// one that is repeated under the same ID takes effect once.
 func (n *Node) Propose(now float64, id uint64, rules Rules) error {
 	n.advanceTime(now)
 	if err := rules.Validate(); err != nil {
@@ -44,8 +52,8 @@
 	return nil
 }
 
-// ProposeJobEntry asks for an entry about a job. The result is part of some later Output. With a change, the entry's job,
-// under its token, makes a version of the active rules with that change.
+// ProposeJobEntry proposes an entry about a job. A later Output contains the result. If change is not nil,
+// the job, under its fencing token, also creates a version: the active rules with that change applied.
 func (n *Node) ProposeJobEntry(now float64, id uint64, e jobs.Entry, change Rules) error {
 	n.advanceTime(now)
 	if rejected := e.Validate(); rejected != nil {
@@ -59,7 +67,7 @@
 	return nil
 }
 
-// Abandon forgets a proposal whose result nobody waits for any more. It may still be committed.
+// Abandon removes a proposal whose result is no longer awaited. The proposal may still be committed.
 func (n *Node) Abandon(id uint64) { delete(n.client.proposals, id) }
 
 func (n *Node) submit(id uint64, proposal Payload) {
@@ -68,7 +76,7 @@
 	n.advanceRaft()
 }
 
-// sendToLeader sends to the leader, as far as that is known, else to each voter in turn.
+// sendToLeader sends a payload to the leader if it is known, else to the voters in turn, one per call.
 func (n *Node) sendToLeader(p Payload) {
 	to := n.client.leader
 	if to == "" && len(n.cfg.Voters) > 0 {
@@ -78,7 +86,7 @@
 	n.send(to, p)
 }
 
-// tickClient renews the lease when that is due, and repeats what had no answer.
+// tickClient, when a renewal is due, requests a lease and repeats the proposals without a result.
 func (n *Node) tickClient() {
 	if n.now < n.client.renewAt {
 		return
@@ -98,8 +106,8 @@
 	c.nonce++
 	c.sentAt[c.nonce] = n.now
 	delete(c.sentAt, c.nonce-maxNonces)
-	if n.now >= c.expiresAt && c.nonce%redirectAfter == 0 {
-		c.leader = "" // whoever was taken for the leader does not answer
+	if n.now >= c.expiresAt && c.nonce%requestsBeforeLeaderSearch == 0 {
+		c.leader = "" // the supposed leader does not answer
 	}
 	report := c.report
 	report.HighestToken = n.versions.HighestToken
@@ -113,7 +121,7 @@
 	})
 }
 
-// receiveGrant takes a lease. It runs from when it was requested, by this node's clock.
+// receiveGrant accepts a lease. Its duration counts from when the request was sent, by this node's clock.
 func (n *Node) receiveGrant(from string, grant LeaseGrant) {
 	sentAt, ok := n.client.sentAt[grant.Nonce]
 	if !ok {
@@ -131,7 +139,7 @@
 	}
 	c.leader = redirect.Leader
 	if c.leader == from {
-		c.leader = "" // it led when it was last asked, and does not now
+		c.leader = "" // the sender was the leader at the last request, and no longer is
 	}
 }
 
@@ -144,8 +152,9 @@
 	n.out.Results = append(n.out.Results, result)
 }
 
-// observe takes the versions and jobs of a message. What was acted on before is never taken back: what a message says of
-// jobs is no newer than its versions. revision is up to which the jobs are known from now on; 0: as before.
+// observe merges the versions and jobs of a message. The versions that the node acts on never go back to
+// earlier ones. The jobs in a message are no newer than its versions. After the merge, all changes of jobs up
+// to revision are known; 0 leaves the known revision as it is.
 func (n *Node) observe(versions VersionState, epoch uint64, list []jobs.Job, revision uint64) {
 	for _, job := range list {
 		if job.Token > n.versions.HighestToken {
@@ -154,7 +163,7 @@
 	}
 	if next := n.versions.advancedTo(versions); !next.sameVersions(&n.versions) {
 		n.versions, n.dirty = next, true
-		n.client.renewAt = n.now // to confirm at once
+		n.client.renewAt = n.now // so that the leader gets the confirmation at once
 	}
 	n.client.jobs.merge(epoch, list, revision)
 }
--- a/internal/cluster/consensus/codec.go
+++ b/internal/cluster/consensus/codec.go
@@ -10,16 +10,16 @@
 	"ashstand/internal/cluster/jobs"
 )
 
-// maxMessageBytes bounds what is decoded.
+// maxMessageBytes is the maximum size of a message that is decoded.
 const maxMessageBytes = 1 << 20
 
-// wireMessage is the JSON form of every Message: the fields of all kinds, zero where a kind has none. Keys and order are
-// the wire format: processes of other versions read and write the same.
+// wireMessage is the JSON form of every Message: the fields of all kinds, zero where a kind has none. Keys
+// and order are the wire format: processes of other versions read and write the same.
 type wireMessage struct {
 	From          string       `json:"From"`
 	To            string       `json:"To"`
 	Kind          MessageKind  `json:"Kind"`
-	ID            uint64       `json:"ID"` // VoterHello: the identity; proposals and results: the proposal
+	ID            uint64       `json:"ID"` // VoterHello: the voter's identity; proposals and results: the proposal's ID
 	Nonce         uint64       `json:"Nonce"`
 	Incarnation   uint64       `json:"Instance"`
 	NewestVersion int          `json:"Known"`
@@ -42,14 +42,14 @@
 	Raft []byte `json:"Raft,omitempty"`
 }
 
-// MessageError is a received message that can't be read, or that no node sends.
+// MessageError reports a received message that is malformed, or that no node would send.
 type MessageError struct {
 	Kind   MessageKind
 	Reason string
 	Err    error // nil: none
 }
 
-// Error is the message for operators.
+// Error returns the message for operators.
 func (e *MessageError) Error() string {
 	text := fmt.Sprintf("message of kind %d: %s", e.Kind, e.Reason)
 	if e.Err != nil {
@@ -58,10 +58,10 @@
 	return text
 }
 
-// Unwrap is the cause.
+// Unwrap returns the cause.
 func (e *MessageError) Unwrap() error { return e.Err }
 
-// EncodeMessage returns the form of a message that is sent.
+// EncodeMessage returns the wire form of a message.
 func EncodeMessage(m Message) ([]byte, error) {
 	w := wireMessage{From: m.From, To: m.To, Kind: m.Payload.Kind(), Incarnation: m.Incarnation}
 	if err := m.Payload.fill(&w); err != nil {
@@ -70,10 +70,10 @@
 	return json.Marshal(w)
 }
 
-// DecodeMessage reads a message. What no node would send is a MessageError.
+// DecodeMessage decodes and validates a message. It returns a MessageError for one that no node would send.
 func DecodeMessage(text []byte) (Message, error) {
 	if len(text) > maxMessageBytes {
-		return Message{}, &MessageError{Reason: fmt.Sprintf("%d bytes are too many", len(text))}
+		return Message{}, &MessageError{Reason: fmt.Sprintf("%d bytes exceed the maximum size", len(text))}
 	}
 	var w wireMessage
 	if err := json.Unmarshal(text, &w); err != nil {
@@ -91,20 +91,21 @@
 
 func (w *wireMessage) validate() error {
 	if (w.Kind == KindRaft) != (w.Raft != nil) || w.From == "" || w.Kind > maxKind {
-		return &MessageError{Kind: w.Kind, Reason: "it lacks a part"}
+		return &MessageError{Kind: w.Kind, Reason: "sender, kind or Raft part is missing or invalid"}
 	}
 	for _, version := range []*Version{&w.Version, &w.Versions.Active, w.Versions.Pending} {
 		if version == nil {
 			continue
 		}
 		if err := version.Rules.Validate(); err != nil {
-			return &MessageError{Kind: w.Kind, Reason: "rules", Err: err}
+			return &MessageError{Kind: w.Kind, Reason: "invalid rules", Err: err}
 		}
 	}
 	return nil
 }
 
-// payload is the only place where the fields of a received message get the meaning of its kind.
+// payload converts the fields to the payload type of the message's kind. No other code interprets the fields
+// by kind.
 func (w *wireMessage) payload() (Payload, error) {
 	switch w.Kind {
 	case KindRaft:
--- a/internal/cluster/consensus/command.go
+++ b/internal/cluster/consensus/command.go
@@ -6,7 +6,7 @@
 	"ashstand/internal/cluster/jobs"
 )
 
-// command is what one entry of the log does: one of the types of this file that have an entry.
+// command is a change that one log entry makes to the replicated state. Its implementations are in this file.
 type command interface {
 	// entry returns the form in which the log stores the command.
 	entry() logEntry
@@ -14,13 +14,14 @@
 
 // proposeVersion makes a version pending.
 type proposeVersion struct {
-	ID      uint64 // of the proposal
+	ID      uint64 // the proposal's ID
 	Version Version
 }
 
-// applyJobEntry is an entry about a job. With a change, it makes a version of the active rules with that change, too.
+// applyJobEntry applies an entry about a job. If Change is not nil, it also creates a version: the active
+// rules with that change applied.
 type applyJobEntry struct {
-	ID     uint64 // of the proposal
+	ID     uint64 // the proposal's ID
 	Entry  *jobs.Entry
 	Change Rules // nil: none
 }
@@ -28,8 +29,8 @@
 // activateVersion makes the pending version the active one.
 type activateVersion struct{ Number int }
 
-// logEntry is the JSON form of every command: the fields of all, left out where a command has none. Keys and order are
-// the stored format.
+// logEntry is the JSON form of every command. It has the fields of all commands; those that a command lacks
+// are omitted. The keys and their order are part of the stored format.
 type logEntry struct {
 	Version   *Version    `json:"propose,omitempty"`
 	ID        uint64      `json:"id,omitempty"`
@@ -46,7 +47,8 @@
 
 func encodeCommand(c command) ([]byte, error) { return json.Marshal(c.entry()) }
 
-// decodeCommand reads an entry of the log. nil: it has none, as the one by which a leader begins its term.
+// decodeCommand decodes a log entry. It returns nil for an entry without a command, such as the empty one
+// that a leader appends at the start of its term.
 func decodeCommand(data []byte) (command, error) {
 	if len(data) == 0 {
 		return nil, nil
--- a/internal/cluster/consensus/golden_test.go
+++ b/internal/cluster/consensus/golden_test.go
@@ -92,7 +92,8 @@
 	}
 }
 
-// Entries of the log are stored by voters and sent between them: what an earlier program wrote is read, and written alike.
+// Entries of the log are stored by voters and sent between them: what an earlier program wrote is read, and
+// written alike.
 func TestGoldenLogEntries(t *testing.T) {
 	for name, c := range map[string]command{
 		"propose":       proposeVersion{ID: 1<<63 + 3, Version: goldenVersion(4)},
--- a/internal/cluster/consensus/grants.go
+++ b/internal/cluster/consensus/grants.go
@@ -7,60 +7,63 @@
 	"ashstand/internal/cluster/jobs"
 )
 
-// maxGrantJobBytes bounds the jobs of one grant, about; what is left out comes with the next. jobOverheadBytes is the size
-// of a job without its payloads, about.
 const (
+	// maxGrantJobBytes is the approximate maximum size of the jobs in one grant. The next grant contains the
+	// others.
 	maxGrantJobBytes = 48 << 10
+	// jobOverheadBytes is the approximate size of a job without its payloads.
 	jobOverheadBytes = 256
 )
 
-// leaseHolder is a pooler whose lease may still run.
+// leaseHolder is a pooler whose lease may not have expired yet.
 type leaseHolder struct {
 	name             string
 	incarnation      uint64
-	until            float64 // by the leader's clock, the other's drift included
-	confirmedVersion int     // the newest version that it acts on
-	format           int     // of rules that its program reads
+	expiresAt        float64 // by the leader's clock, with an allowance for clock drift
+	confirmedVersion int     // the newest version that the holder acts on
+	format           int     // newest format of rules that the holder's program reads
 	report           jobs.Report
-	allJobsAt        float64 // when it was sent the changes of all jobs
+	allJobsSentAt    float64 // when the changes of all jobs were last sent to it
 }
 
-// renewal is a lease request and who sent it.
+// renewal is a lease request and its sender.
 type renewal struct {
 	from        string
 	incarnation uint64
 	request     LeaseRequest
 }
 
-// renewalQueue holds lease requests until a majority has confirmed, after they came, that this node still leads. They are
-// confirmed in batches, one at a time.
+// renewalQueue holds lease requests until a majority has confirmed, after the requests arrived, that this
+// node still leads. The requests are confirmed in batches, one batch at a time.
 type renewalQueue struct {
 	waiting    []renewal
-	confirming []renewal // nil: no batch is being confirmed
-	since      float64   // when its confirmation was asked for
-	batch      uint64    // its number
-	confirmed  uint64    // the last batch that was confirmed
-	index      uint64    // which may be answered once the log is applied up to here
+	confirming []renewal // the current batch; nil: none
+	// confirmationRequestedAt is when the confirmation of the current batch was requested.
+	confirmationRequestedAt float64
+	batch                   uint64 // number of the current batch
+	confirmed               uint64 // number of the last batch that a majority confirmed
+	// readIndex is the log index up to which entries have to be applied before the confirmed batch is answered.
+	readIndex uint64
 }
 
 func (q *renewalQueue) reset() { q.waiting, q.confirming, q.batch = nil, nil, q.batch+1 }
 
-// confirm notes that a majority confirmed a batch.
-func (q *renewalQueue) confirm(batch, index uint64) { q.confirmed, q.index = batch, index }
+// confirm records that a majority confirmed a batch.
+func (q *renewalQueue) confirm(batch, index uint64) { q.confirmed, q.readIndex = batch, index }
 
-// isReady says whether the batch may be answered.
+// isReady reports whether the current batch may be answered.
 func (q *renewalQueue) isReady(applied uint64) bool {
-	return q.confirming != nil && q.confirmed == q.batch && applied >= q.index
+	return q.confirming != nil && q.confirmed == q.batch && applied >= q.readIndex
 }
 
-// next begins with a batch of what waits.
-func (q *renewalQueue) next(now float64) {
-	q.confirming, q.waiting, q.since = q.waiting, nil, now
+// startBatch makes the waiting requests the current batch.
+func (q *renewalQueue) startBatch(now float64) {
+	q.confirming, q.waiting, q.confirmationRequestedAt = q.waiting, nil, now
 	q.batch++
 }
 
-// take ends the batch and returns it.
-func (q *renewalQueue) take() []renewal {
+// finishBatch ends the current batch and returns it.
+func (q *renewalQueue) finishBatch() []renewal {
 	batch := q.confirming
 	q.confirming = nil
 	return batch
@@ -76,22 +79,23 @@
 	}
 }
 
-// grantLeases answers the batch that a majority confirmed, and begins with the next.
+// grantLeases answers the current batch if a majority has confirmed it, and requests the confirmation of the
+// next.
 func (n *Node) grantLeases() {
 	q := &n.leadership.renewals
 	if q.isReady(n.replica.applied) {
-		n.grantAll(q.take())
+		n.grantAll(q.finishBatch())
 	}
-	if q.confirming != nil && n.now-q.since > n.replica.electionTimeout() {
-		q.take() // the confirmation was lost: whoever waited asks again
+	if q.confirming != nil && n.now-q.confirmationRequestedAt > n.replica.electionTimeout() {
+		q.finishBatch() // the confirmation was lost; the senders repeat their requests
 	}
 	if q.confirming != nil || len(q.waiting) == 0 {
 		return
 	}
-	q.next(n.now)
+	q.startBatch(n.now)
 	if n.cfg.Break == breakQuorum {
 		q.confirm(q.batch, 0)
-		n.grantAll(q.take())
+		n.grantAll(q.finishBatch())
 		return
 	}
 	n.replica.raw.ReadIndex(binary.BigEndian.AppendUint64(nil, q.batch))
@@ -114,13 +118,14 @@
 		holder.report = *r.request.Report
 		n.leadership.scheduler.ObserveReport(holder.report)
 	}
-	holder.until = max(holder.until, n.now+n.maxLeaseMillis())
+	holder.expiresAt = max(holder.expiresAt, n.now+n.maxLeaseMillis())
 	grant := LeaseGrant{Nonce: r.request.Nonce, DurationMillis: n.cfg.LeaseMillis, Versions: n.replica.state.Versions}
 	n.addJobs(&grant, r, holder)
 	n.send(r.from, grant)
 }
 
-// holder finds who sent a request, or adds it. nil: there are too many.
+// holder returns the lease holder that sent a request, and adds it if it is new. It returns nil if there are
+// too many.
 func (n *Node) holder(r renewal) *leaseHolder {
 	holders := n.leadership.holders
 	key := fmt.Sprintf("%s/%x", r.from, r.incarnation)
@@ -128,17 +133,18 @@
 		if len(holders) >= maxHolders {
 			return nil
 		}
-		holders[key] = &leaseHolder{name: r.from, incarnation: r.incarnation, until: longAgo, allJobsAt: longAgo}
+		holders[key] = &leaseHolder{name: r.from, incarnation: r.incarnation, expiresAt: longAgo, allJobsSentAt: longAgo}
 	}
 	return holders[key]
 }
 
-// addJobs adds the jobs that changed since a request's revision to its grant: at once those whose lease the pooler holds,
-// the others at a slower pace, since nothing waits for them and a busy job changes with each operation.
+// addJobs adds the jobs that changed since a request's revision to its grant. Every grant contains the jobs
+// whose lease the pooler holds. The others are sent at most once per half lease, since nothing waits for them
+// and a busy job changes with each operation.
 func (n *Node) addJobs(grant *LeaseGrant, r renewal, holder *leaseHolder) {
 	state := &n.replica.state
 	if grant.JobsEpoch = state.JobsEpoch; grant.JobsEpoch == 0 {
-		return // there are none
+		return // there are no jobs
 	}
 	since := r.request.JobsRevision
 	if r.request.JobsEpoch != state.JobsEpoch {
@@ -146,11 +152,11 @@
 	}
 	changed := state.Jobs.ChangedSince(since)
 	grant.JobsRevision = since
-	if n.now-holder.allJobsAt < n.cfg.LeaseMillis/2 && since > 0 {
-		grant.Jobs = jobsOf(changed, r)
+	if n.now-holder.allJobsSentAt < n.cfg.LeaseMillis/2 && since > 0 {
+		grant.Jobs = jobsHeldBySender(changed, r)
 		return
 	}
-	holder.allJobsAt = n.now
+	holder.allJobsSentAt = n.now
 	size := 0
 	for _, job := range changed {
 		if size += jobBytes(&job); size > maxGrantJobBytes && len(grant.Jobs) > 0 {
@@ -161,8 +167,8 @@
 	grant.JobsRevision = state.Jobs.Revision
 }
 
-// jobsOf are the jobs whose lease the sender of a request holds.
-func jobsOf(list []jobs.Job, r renewal) (own []jobs.Job) {
+// jobsHeldBySender returns the jobs whose lease the sender of a request holds.
+func jobsHeldBySender(list []jobs.Job, r renewal) (own []jobs.Job) {
 	for _, job := range list {
 		if job.Holder == r.from && job.Incarnation == r.incarnation {
 			own = append(own, job)
@@ -171,7 +177,7 @@
 	return own
 }
 
-// jobBytes is the size of a job in a message, about.
+// jobBytes returns the approximate size of a job in a message.
 func jobBytes(job *jobs.Job) int {
 	size := jobOverheadBytes + len(job.Spec) + len(job.State)
 	if job.Operation != nil {
--- a/internal/cluster/consensus/jobcache.go
+++ b/internal/cluster/consensus/jobcache.go
@@ -6,19 +6,21 @@
 	"ashstand/internal/cluster/jobs"
 )
 
-// maxCachedJobs is more than the state machine holds.
+// maxCachedJobs is greater than the number of jobs that the state machine holds.
 const maxCachedJobs = 160
 
-// jobCache holds the jobs of the replicated state as a pooler learned of them. They may be out of date: they are for
-// operators, and for the jobs whose lease this pooler holds. Nothing that is decided by them is safe without the fencing
-// token.
+// jobCache holds the jobs of the replicated state as far as this pooler knows them. They may be out of date.
+// They are shown to operators, and used for the jobs whose lease this pooler holds. A decision that is based
+// on them is safe only together with the job's fencing token.
 type jobCache struct {
 	epoch    uint64
-	revision uint64              // up to which all changes are known
-	byName   map[string]jobs.Job // replaced as a whole, never changed: a Lease refers to it
+	revision uint64 // all changes up to this revision are known
+	// byName is replaced as a whole and never modified, since a Lease refers to it.
+	byName map[string]jobs.Job
 }
 
-// merge takes jobs that changed. revision is up to which all changes are known with them; 0: they are known by themselves.
+// merge adds jobs that changed. With them, all changes up to revision are known; 0: the list says nothing of
+// other jobs.
 func (c *jobCache) merge(epoch uint64, list []jobs.Job, revision uint64) {
 	if epoch == 0 || len(list) == 0 && epoch == c.epoch {
 		return
@@ -35,13 +37,13 @@
 		}
 	}
 	for len(next) > maxCachedJobs {
-		delete(next, oldestJob(next)) // the state machine has dropped it, too
+		delete(next, oldestJob(next)) // the state machine has dropped this job, too
 	}
 	c.revision = max(c.revision, revision)
 	c.byName = next
 }
 
-// oldestJob is the name of the job that changed first.
+// oldestJob returns the name of the job whose last change is the oldest.
 func oldestJob(byName map[string]jobs.Job) (oldest string) {
 	for name, job := range byName {
 		if oldest == "" || job.Revision < byName[oldest].Revision {
--- a/internal/cluster/consensus/leader.go
+++ b/internal/cluster/consensus/leader.go
@@ -7,46 +7,48 @@
 	"ashstand/internal/cluster/jobs"
 )
 
-// Bounds of what a leader remembers.
+// Limits of the leader's bookkeeping.
 const (
-	maxHolders        = 4096 // of leases
+	maxHolders        = 4096 // lease holders
 	maxAwaitedResults = 1024
 )
 
-// leadership is what a node knows as the leader. None of it is replicated: a new leader begins anew.
+// leadership is the state that a node holds as the leader. None of it is replicated: a new leader starts
+// without it.
 type leadership struct {
 	active bool
-	// leasesEndedAt is when no lease of an earlier leader runs any more.
-	leasesEndedAt float64
-	holders       map[string]*leaseHolder // by name and incarnation
-	renewals      renewalQueue
-	activatedAt   float64           // when an activation was proposed last
-	hellos        map[string]uint64 // identities of voters that ask to be admitted, by name
-	awaiting      map[uint64]string // who is to be sent a proposal's result, by the proposal's ID
-	scheduler     *jobs.Scheduler
-	scheduledAt   float64
-	scheduledRev  uint64 // the jobs' revision then
+	// leasesEndedAt is the time from which on all leases of earlier leaders have expired.
+	leasesEndedAt     float64
+	holders           map[string]*leaseHolder // by name and incarnation
+	renewals          renewalQueue
+	activatedAt       float64           // when an activation was last proposed
+	hellos            map[string]uint64 // identities of voters that request admission, by name
+	proposers         map[uint64]string // poolers that await a proposal's result, by the proposal's ID
+	scheduler         *jobs.Scheduler
+	scheduledAt       float64
+	scheduledRevision uint64 // the jobs' revision at scheduledAt
 }
 
 func newLeadership(cfg jobs.SchedulerConfig) leadership {
-	return leadership{holders: map[string]*leaseHolder{}, hellos: map[string]uint64{}, awaiting: map[uint64]string{}, scheduler: jobs.NewScheduler(cfg)}
+	return leadership{holders: map[string]*leaseHolder{}, hellos: map[string]uint64{}, proposers: map[uint64]string{}, scheduler: jobs.NewScheduler(cfg)}
 }
 
-// reset forgets what was known in an earlier term.
+// reset discards the state of an earlier term.
 func (l *leadership) reset() {
 	clear(l.holders)
 	clear(l.hellos)
-	clear(l.awaiting)
+	clear(l.proposers)
 	l.scheduler.Reset()
 	l.scheduledAt = longAgo
 	l.renewals.reset()
 }
 
-// setLeading notes whether this node leads.
+// setLeading records whether this node leads.
 func (n *Node) setLeading(leads bool) {
 	l := &n.leadership
 	if leads && !l.active {
-		// Leases of earlier leaders were requested before a majority elected this one, so after one duration none runs.
+		// Leases of earlier leaders were requested before a majority elected this one, so all of them have
+		// expired after one lease duration.
 		l.leasesEndedAt = n.now + n.maxLeaseMillis()
 		l.activatedAt = longAgo
 	}
@@ -58,22 +60,23 @@
 	}
 }
 
-// maxLeaseMillis is how long a lease may run by this node's clock.
+// maxLeaseMillis returns the maximum duration of a lease by this node's clock.
 func (n *Node) maxLeaseMillis() float64 { return n.cfg.LeaseMillis * n.cfg.driftFactor() }
 
-// lead does the leader's part: grants leases, activates versions, admits voters, assigns jobs.
+// lead performs the leader's duties: it grants leases, activates versions, admits voters and assigns jobs.
 func (n *Node) lead() {
 	if !n.leadership.active {
 		return
 	}
 	n.grantLeases()
-	maps.DeleteFunc(n.leadership.holders, func(_ string, h *leaseHolder) bool { return h.until <= n.now })
+	maps.DeleteFunc(n.leadership.holders, func(_ string, h *leaseHolder) bool { return h.expiresAt <= n.now })
 	n.activatePending()
 	n.admitVoters()
 	n.assignJobs()
 }
 
-// activatePending proposes to activate the pending version once it is confirmed, and again while that is not committed.
+// activatePending proposes to activate the pending version once it is confirmed, and repeats the proposal
+// until it is committed.
 func (n *Node) activatePending() {
 	pending := n.replica.state.Versions.Pending
 	if pending == nil || n.now-n.leadership.activatedAt <= n.replica.electionTimeout() || !n.isConfirmed(pending.Number) {
@@ -84,7 +87,7 @@
 	}
 }
 
-// isConfirmed says whether every pooler whose lease may still run acts on a version already.
+// isConfirmed reports whether every pooler whose lease may not have expired yet acts on a version already.
 func (n *Node) isConfirmed(version int) bool {
 	if n.cfg.Break == breakQuorum {
 		return true
@@ -109,7 +112,7 @@
 	return n.replica.raw.Propose(data)
 }
 
-// leaderName is the leader as far as this node knows; "": none.
+// leaderName returns the name of the leader as far as this node knows it; "": unknown.
 func (n *Node) leaderName() string {
 	if n.replica == nil {
 		return n.client.leader
@@ -120,8 +123,8 @@
 // redirect tells a pooler that this node does not lead.
 func (n *Node) redirect(to string) { n.send(to, LeaderRedirect{Leader: n.leaderName()}) }
 
-// receiveProposal appends a proposal to the log, or answers it: it was committed before, or can't be taken now. prepare
-// checks the proposal and returns its command.
+// receiveProposal appends a proposal to the log. It answers at once if the proposal was committed before or
+// can't be accepted now. prepare checks the proposal and returns its command.
 func (n *Node) receiveProposal(from string, id uint64, prepare func() (command, error)) {
 	if !n.leadership.active {
 		n.redirect(from)
@@ -140,18 +143,19 @@
 		n.send(from, ProposalResult{ID: id, Reason: err.Error()})
 		return
 	}
-	if awaiting := n.leadership.awaiting; len(awaiting) < maxAwaitedResults { // else the proposer learns it when it asks again
+	// else the proposer gets the result when it repeats the proposal
+	if awaiting := n.leadership.proposers; len(awaiting) < maxAwaitedResults {
 		awaiting[id] = from
 	}
 }
 
-// sendResult tells the proposer what became of a proposal.
+// sendResult sends the outcome of a proposal to its proposer.
 func (n *Node) sendResult(outcome *proposalOutcome) {
-	to, ok := n.leadership.awaiting[outcome.ID]
+	to, ok := n.leadership.proposers[outcome.ID]
 	if !ok || !n.leadership.active {
 		return
 	}
-	delete(n.leadership.awaiting, outcome.ID)
+	delete(n.leadership.proposers, outcome.ID)
 	n.send(to, n.replica.state.result(outcome))
 }
 
@@ -175,7 +179,7 @@
 	return applyJobEntry{ID: p.ID, Entry: p.Entry, Change: p.Change}, nil
 }
 
-// checkVersion says why a version can't be activated on this fleet now; nil: it can.
+// checkVersion returns the reason why a version can't be activated on this fleet now; nil: it can.
 func (n *Node) checkVersion(v *Version) error {
 	if pending := n.replica.state.Versions.Pending; pending != nil {
 		return &PendingError{Pending: pending.Number}
@@ -189,7 +193,7 @@
 	return n.checkFormat(v.Format)
 }
 
-// checkLimits rejects rules that a pooler without a lease, which goes by its limits, would break.
+// checkLimits rejects rules that a pooler without a lease, which acts on its limits, would violate.
 func (n *Node) checkLimits(rules Rules) error {
 	for _, name := range slices.Sorted(maps.Keys(rules)) {
 		key, _ := findRuleKey(name) // validated before
@@ -201,17 +205,17 @@
 	return nil
 }
 
-// checkFormat rejects a format that a program under lease can't read.
+// checkFormat rejects a format that the program of a lease holder can't read.
 func (n *Node) checkFormat(format int) error {
-	var unable []string
+	var incompatible []string
 	for _, h := range n.leadership.holders {
-		if h.until > n.now && h.format < format {
-			unable = append(unable, h.name)
+		if h.expiresAt > n.now && h.format < format {
+			incompatible = append(incompatible, h.name)
 		}
 	}
-	if len(unable) == 0 {
+	if len(incompatible) == 0 {
 		return nil
 	}
-	slices.Sort(unable)
-	return &FormatError{Poolers: slices.Compact(unable), Format: format}
+	slices.Sort(incompatible)
+	return &FormatError{Poolers: slices.Compact(incompatible), Format: format}
 }
--- a/internal/cluster/consensus/message.go
+++ b/internal/cluster/consensus/message.go
@@ -6,17 +6,17 @@
 	"ashstand/internal/cluster/jobs"
 )
 
-// Message goes from one pooler to another, by name.
+// Message is a message from one pooler to another. Poolers are addressed by name.
 type Message struct {
 	From, To    string
-	Incarnation uint64 // of the sender's process
+	Incarnation uint64 // that of the sender's process
 	Payload     Payload
 }
 
 // MessageKind is the number of a payload's type on the wire.
 type MessageKind uint8
 
-// The kinds. Their numbers are part of the wire format.
+// The message kinds. Their numbers are part of the wire format.
 const (
 	KindRaft MessageKind = iota
 	KindVoterHello
@@ -30,7 +30,7 @@
 	maxKind = KindJobUpdate
 )
 
-// Payload is what a message says: one of the types of this file that have a Kind.
+// Payload is the content of a message. Its implementations are in this file.
 type Payload interface {
 	// Kind is the payload's number on the wire.
 	Kind() MessageKind
@@ -38,20 +38,21 @@
 	fill(*wireMessage) error
 }
 
-// RaftMessage goes between voters.
+// RaftMessage carries a message of the raft library between voters and learners.
 type RaftMessage struct{ Raft *pb.Message }
 
-// VoterHello is sent by a voter whose identity is not part of the log: its name is to get the new identity.
+// VoterHello is sent by a voter whose identity is not among the voters in the log. It requests that the
+// voter's name gets the new identity.
 type VoterHello struct{ ID uint64 }
 
-// LeaseRequest asks the leader for a lease. It reports the pooler's state, too.
+// LeaseRequest asks the leader for a lease and reports the pooler's state.
 type LeaseRequest struct {
-	Nonce         uint64 // of this request; the grant repeats it
+	Nonce         uint64 // identifies the request; the grant repeats it
 	NewestVersion int    // the newest version that the pooler acts on, alone or beside an older one
 	Format        int    // the newest format of rules that its program reads
 	Report        *jobs.Report
-	JobsEpoch     uint64 // of the jobs that it knows
-	JobsRevision  uint64 // up to which it knows them
+	JobsEpoch     uint64 // epoch of the jobs that the pooler knows
+	JobsRevision  uint64 // the pooler knows all changes of jobs up to this revision
 }
 
 // LeaseGrant answers a LeaseRequest. The lease begins when the request was sent.
@@ -60,38 +61,39 @@
 	DurationMillis float64
 	Versions       VersionState
 	JobsEpoch      uint64
-	JobsRevision   uint64     // up to which the pooler knows the jobs from now on
-	Jobs           []jobs.Job // that changed since the revision of the request
+	JobsRevision   uint64     // with this grant, the pooler knows all changes up to this revision
+	Jobs           []jobs.Job // jobs that changed since the revision of the request
 }
 
-// VersionProposal asks the leader to append a version. The ID makes a proposal that is sent again count once.
+// VersionProposal asks the leader to append a version. The ID makes the proposal idempotent.
 type VersionProposal struct {
 	ID      uint64
 	Version Version
 }
 
-// JobProposal asks the leader to append an entry about a job. With a change, the job's lease holder changes some of the
-// active rules with it.
+// JobProposal asks the leader to append an entry about a job. If Change is not nil, the job's lease holder
+// also changes some of the active rules.
 type JobProposal struct {
 	ID     uint64
 	Entry  *jobs.Entry
 	Change Rules // nil: none; a nil value removes a rule
-	Format int   // of the changed rules
+	Format int   // format of the changed rules
 }
 
-// ProposalResult is what became of a proposal.
+// ProposalResult is the outcome of a proposal.
 type ProposalResult struct {
 	ID            uint64
 	Accepted      bool
-	VersionNumber int // of the version that it made; 0: none
+	VersionNumber int // number of the version that the proposal created; 0: none
 	Reason        string
-	Rejected      *jobs.RejectedError // by the jobs' state machine
-	Versions      VersionState        // with the next two, for an entry about a job: the state that it led to
-	JobsEpoch     uint64
-	Jobs          []jobs.Job
+	Rejected      *jobs.RejectedError // rejection by the jobs' state machine; nil: none
+	// Versions, JobsEpoch and Jobs are the state after an entry about a job. Other proposals leave them zero.
+	Versions  VersionState
+	JobsEpoch uint64
+	Jobs      []jobs.Job
 }
 
-// LeaderRedirect answers what only a leader can: the sender is none.
+// LeaderRedirect answers a request that only a leader can serve, from a node that does not lead.
 type LeaderRedirect struct {
 	Leader string // as far as the sender knows; "": unknown
 }
@@ -103,29 +105,29 @@
 	Jobs      []jobs.Job
 }
 
-// Kind is Payload's.
+// Kind implements Payload.
 func (RaftMessage) Kind() MessageKind { return KindRaft }
 
-// Kind is Payload's.
+// Kind implements Payload.
 func (VoterHello) Kind() MessageKind { return KindVoterHello }
 
-// Kind is Payload's.
+// Kind implements Payload.
 func (LeaseRequest) Kind() MessageKind { return KindLeaseRequest }
 
-// Kind is Payload's.
+// Kind implements Payload.
 func (LeaseGrant) Kind() MessageKind { return KindLeaseGrant }
 
-// Kind is Payload's.
+// Kind implements Payload.
 func (VersionProposal) Kind() MessageKind { return KindProposal }
 
-// Kind is Payload's.
+// Kind implements Payload.
 func (JobProposal) Kind() MessageKind { return KindProposal }
 
-// Kind is Payload's.
+// Kind implements Payload.
 func (ProposalResult) Kind() MessageKind { return KindProposalResult }
 
-// Kind is Payload's.
+// Kind implements Payload.
 func (LeaderRedirect) Kind() MessageKind { return KindLeaderRedirect }
 
-// Kind is Payload's.
+// Kind implements Payload.
 func (JobUpdate) Kind() MessageKind { return KindJobUpdate }
--- a/internal/cluster/consensus/node.go
+++ b/internal/cluster/consensus/node.go
@@ -8,31 +8,32 @@
 	"ashstand/internal/cluster/jobs"
 )
 
-// Output is what a node wants done: to save first, then the rest.
+// Output is the work that a node requests from its caller. Save comes first: messages and results may go out
+// only once the state is saved.
 type Output struct {
 	Save     *PersistentState // nil: nothing changed
 	Messages []Message
-	Results  []ProposalResult // of proposals that were made at this node
+	Results  []ProposalResult // results of proposals that were made at this node
 }
 
 // Node is one pooler's part in the consensus. It is not safe for concurrent use.
 type Node struct {
 	cfg    Config
-	now    float64 // the latest time that was given, in milliseconds
+	now    float64 // the latest time that a caller passed, in milliseconds
 	random *rand.Rand
 	out    Output
 
-	versions  VersionState // that this pooler acts on
+	versions  VersionState // the versions that this pooler acts on
 	persisted PersistentState
-	dirty     bool // persisted is to be saved before the next messages are sent
+	dirty     bool // persisted has to be saved before the next messages are sent
 
 	client     leaseClient
 	replica    *replica // nil: the node does not vote
 	leadership leadership
 }
 
-// New returns a pooler's node. persisted is what its last Output.Save held; nil: nothing, or nothing that is certainly its
-// own.
+// New returns a pooler's node. persisted is the value of its last Output.Save; nil: there is none, or it is
+// not certain that the state is the original one of this pooler.
 func New(cfg Config, persisted *PersistentState, now float64) (*Node, error) {
 	n := &Node{
 		cfg:        cfg,
@@ -50,19 +51,20 @@
 		return n, nil
 	}
 	if n.persisted.ID == 0 {
-		n.persisted = PersistentState{ID: n.random.Uint64() | 1, Versions: n.persisted.Versions} // a new identity: this name may have voted before
+		// a new identity, since a voter of this name may have voted before
+		n.persisted = PersistentState{ID: n.random.Uint64() | 1, Versions: n.persisted.Versions}
 		n.dirty = true
 	}
 	var err error
 	if n.replica, err = newReplica(&n.persisted, cfg.ElectionTimeoutMillis, now); err != nil {
 		return nil, err
 	}
-	n.drawCampaignDelay()
+	n.randomizeCampaignDelay()
 	n.advanceRaft()
 	return n, nil
 }
 
-// Receive takes a message.
+// Receive processes a message.
 func (n *Node) Receive(now float64, m Message) {
 	n.advanceTime(now)
 	switch p := m.Payload.(type) {
@@ -88,7 +90,7 @@
 	n.advanceRaft()
 }
 
-// Tick does what is due.
+// Tick performs the actions that are due.
 func (n *Node) Tick(now float64) {
 	n.advanceTime(now)
 	if n.replica != nil {
@@ -98,7 +100,7 @@
 	n.advanceRaft()
 }
 
-// Output hands over what is to be done.
+// Output returns the work that was requested since the last call.
 func (n *Node) Output() Output {
 	if n.dirty {
 		n.updatePersisted()
@@ -111,54 +113,56 @@
 	return out
 }
 
-// advanceTime takes the time of a call. It never runs backwards.
+// advanceTime sets the node's time to that of a call. It never goes back.
 func (n *Node) advanceTime(now float64) { n.now = max(n.now, now) }
 
-// send queues a message. One to the node itself is queued, too: whoever carries messages brings it back.
+// send queues a message. A message to the node itself is queued, too; the caller passes it back to Receive.
 func (n *Node) send(to string, p Payload) {
 	if to != "" {
 		n.out.Messages = append(n.out.Messages, Message{From: n.cfg.Name, To: to, Incarnation: n.cfg.Incarnation, Payload: p})
 	}
 }
 
-// RecordSaveDuration tells how long it took to save what an Output wanted saved, in milliseconds. Nobody may be replaced
-// as leader for being silent for as long as that.
+// RecordSaveDuration records how long it took to save the state of an Output, in milliseconds. The election
+// timeout grows with it, since a leader is silent while it saves and must not be replaced for that.
 func (n *Node) RecordSaveDuration(millis float64) {
 	if r := n.replica; r != nil {
-		r.slowestSave = max(millis, r.slowestSave-r.slowestSave/8) // an outlier fades within some tens of saves
+		// decays by 1/8 per save, so an outlier fades within some tens of saves
+		r.slowestSaveMillis = max(millis, r.slowestSaveMillis-r.slowestSaveMillis/8)
 	}
 }
 
-// SetReport sets what this pooler reports of itself from now on.
+// SetReport sets the report that this pooler sends with its lease requests.
 func (n *Node) SetReport(r jobs.Report) { n.client.report = r }
 
-// Lease returns the present lease. It may be acted on once what Output wanted saved is.
+// Lease returns the current lease. A caller may act on it once the state of the latest Output is saved.
 func (n *Node) Lease() Lease {
 	return Lease{
-		Versions:  n.versions,
-		ExpiresAt: n.client.expiresAt,
-		Jobs:      n.client.jobs.byName,
-		limits:    n.cfg.Limits,
-		broken:    n.cfg.Break,
+		Versions:          n.versions,
+		ExpiresAt:         n.client.expiresAt,
+		Jobs:              n.client.jobs.byName,
+		limits:            n.cfg.Limits,
+		disabledGuarantee: n.cfg.Break,
 	}
 }
 
-// Effective returns the rules of the present lease at a moment.
+// Effective returns the effective rules of the current lease at a given time.
 func (n *Node) Effective(now float64) EffectiveRules {
 	lease := n.Lease()
 	return lease.Effective(now)
 }
 
-// LeaseExpired says whether the present lease has expired at a moment.
+// LeaseExpired reports whether the current lease has expired at a given time.
 func (n *Node) LeaseExpired(now float64) bool {
 	lease := n.Lease()
 	return lease.Expired(now)
 }
 
-// IsLeader says whether this node believes to lead.
+// IsLeader reports whether this node believes that it is the leader.
 func (n *Node) IsLeader() bool { return n.leadership.active }
 
-// Voters returns the names in the log by identity, as far as this node has the log. It is not to be changed.
+// Voters returns the names of voters and learners by identity, as far as this node has the log. Callers must
+// not modify it.
 func (n *Node) Voters() map[uint64]string {
 	if n.replica == nil {
 		return nil
@@ -166,7 +170,7 @@
 	return n.replica.state.Names
 }
 
-// Versions returns the newest versions of the log, as far as this node has it. They are not to be changed.
+// Versions returns the newest versions of the log, as far as this node has it. Callers must not modify them.
 func (n *Node) Versions() []Version {
 	if n.replica == nil {
 		return nil
@@ -174,5 +178,5 @@
 	return n.replica.state.History
 }
 
-// longAgo is a time before all others.
+// longAgo is earlier than every other time.
 var longAgo = math.Inf(-1)
--- a/internal/cluster/consensus/node_test.go
+++ b/internal/cluster/consensus/node_test.go
@@ -142,7 +142,8 @@
 	result := c.propose(first.Holder, 3, jobs.Entry{Type: jobs.EntryConfirm, Job: "w", Token: first.Token, Operation: operation}, nil)
 	require.False(t, result.Accepted)
 	require.Equal(t, jobs.RejectStaleToken, result.Rejected.Reason)
-	// Nor can it change rules under its stale token. The present holder can, and its changes are made to the active rules.
+	// Nor can it change rules under its stale token. The present holder can, and its changes are made to the
+	// active rules.
 	result = c.propose(first.Holder, 4, jobs.Entry{Type: jobs.EntryAuthorize, Job: "w", Token: first.Token}, Rules{"tries": 2.0})
 	require.False(t, result.Accepted)
 	for _, n := range c.nodes {
@@ -159,7 +160,8 @@
 	require.Equal(t, second.Token, c.nodes["n4"].versions.HighestToken, "the highest token is kept")
 }
 
-// In a cluster that is bootstrapped anew, fencing tokens rise above those that a pooler remembers of the earlier cluster.
+// In a cluster that is bootstrapped anew, fencing tokens rise above those that a pooler remembers of the
+// earlier cluster.
 func TestTokensRiseAfterClusterIsBootstrappedAnew(t *testing.T) {
 	c := newTestCluster(t)
 	c.nodes["n4"].versions.HighestToken = 40
--- a/internal/cluster/consensus/persist.go
+++ b/internal/cluster/consensus/persist.go
@@ -9,22 +9,23 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// PersistentState is what a node must not forget. Whoever drives the node saves it as a whole, and synced, before any
-// message of the same Output is sent and before anything that rests on it is acted on. A copy of it must never be given to
-// New: two processes that vote under one identity, or one that forgot how it voted, can undo what was committed. Without
-// the original, New is given nil.
+// PersistentState is the state that a node must not lose. The node's caller saves and syncs it as a whole
+// before it sends any message of the same Output and before it acts on anything that depends on the state. A
+// copy must never be passed to New: two processes that vote under one identity, or a process that lost its
+// vote, can revert committed entries. A caller without the original passes nil to New.
 type PersistentState struct {
 	ID        uint64 // the voter's identity; 0: the node never voted
 	HardState *pb.HardState
 	Snapshot  *pb.Snapshot
-	Entries   []*pb.Entry // of the log, after the snapshot
+	Entries   []*pb.Entry // log entries after the snapshot
 	Versions  VersionState
 }
 
 // maxLogEntries is how many applied entries are kept before they are compacted into a snapshot.
 const maxLogEntries = 256
 
-// InitialState is the state of a voter before the first start of a cluster. All voters are given the same names, once.
+// InitialState returns the state of a voter before the first start of a cluster. It is called once per voter,
+// with the same names for all voters.
 func InitialState(name string, voters []string) *PersistentState {
 	state := replicatedState{Names: map[uint64]string{}}
 	confState := &pb.ConfState{}
@@ -45,14 +46,14 @@
 	}
 }
 
-// initialID is the identity that a voter's name has in a new cluster.
+// initialID returns the identity that a voter's name has in a new cluster.
 func initialID(name string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name)) // never fails
 	return h.Sum64() | 1
 }
 
-// updatePersisted brings the state to be saved up to date, with old entries compacted into a snapshot.
+// updatePersisted updates the state to be saved, and compacts old entries into a snapshot.
 func (n *Node) updatePersisted() {
 	n.persisted.Versions = n.versions
 	if n.replica == nil {
@@ -80,8 +81,8 @@
 	}
 	snapshot, err := r.storage.CreateSnapshot(r.applied, r.confState, data)
 	if err != nil {
-		return // one of this index is there already
+		return // a snapshot of this index exists already
 	}
 	n.persisted.Snapshot, n.dirty = snapshot, true // a restart must not fall back to voters that were removed since
-	_ = r.storage.Compact(r.applied)               // fails where nothing is left to compact
+	_ = r.storage.Compact(r.applied)               // fails if there is nothing to compact
 }
--- a/internal/cluster/consensus/raft.go
+++ b/internal/cluster/consensus/raft.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Bounds of what a replica holds and sends.
+// Limits of a replica's memory and messages.
 const (
 	maxRaftMessageBytes     = 64 << 10
 	maxInflightRaftMessages = 64
@@ -17,34 +17,34 @@
 	maxPeerNames            = 4096
 )
 
-// savesPerElection is how many of the slowest saves an election timeout covers at least.
+// savesPerElection is the minimum ratio of the election timeout to the duration of the slowest recent save.
 const savesPerElection = 4
 
-// replica is a voter's copy of the log and of the state that it amounts to.
+// replica is a voter's copy of the log and of the state that results from its entries.
 type replica struct {
 	id        uint64
 	storage   *raft.MemoryStorage
 	raw       *raft.RawNode
 	state     replicatedState
-	applied   uint64        // index of the last entry that the state contains
+	applied   uint64        // index of the last applied entry
 	confState *pb.ConfState // nil: no snapshot was received yet
 	peerNames map[uint64]string
 
-	tickedAt       float64
-	leaderSeenAt   float64 // when a leader's message came last
-	campaignAfter  float64 // of a leader's silence
-	slowestSave    float64 // of late, in milliseconds
-	electionMillis float64 // Config.ElectionTimeoutMillis
+	tickedAt          float64
+	leaderHeardAt     float64 // when a leader's message last arrived
+	campaignDelay     float64 // how long a leader may be silent before this replica campaigns
+	slowestSaveMillis float64 // slowest recent save; decays
+	electionMillis    float64 // Config.ElectionTimeoutMillis
 }
 
 // newReplica restores a replica from persisted state.
 func newReplica(persisted *PersistentState, electionMillis, now float64) (*replica, error) {
-	r := &replica{id: persisted.ID, storage: raft.NewMemoryStorage(), peerNames: map[uint64]string{}, tickedAt: now, leaderSeenAt: now, electionMillis: electionMillis}
+	r := &replica{id: persisted.ID, storage: raft.NewMemoryStorage(), peerNames: map[uint64]string{}, tickedAt: now, leaderHeardAt: now, electionMillis: electionMillis}
 	if persisted.Snapshot != nil {
 		if err := r.storage.ApplySnapshot(persisted.Snapshot); err != nil {
 			return nil, &StateError{Err: err}
 		}
-		if err := r.load(persisted.Snapshot); err != nil {
+		if err := r.loadSnapshot(persisted.Snapshot); err != nil {
 			return nil, err
 		}
 	}
@@ -77,8 +77,8 @@
 	return r, nil
 }
 
-// load replaces the state by a snapshot's.
-func (r *replica) load(snapshot *pb.Snapshot) error {
+// loadSnapshot replaces the state by that of a snapshot.
+func (r *replica) loadSnapshot(snapshot *pb.Snapshot) error {
 	r.state = replicatedState{}
 	if err := json.Unmarshal(snapshot.GetData(), &r.state); err != nil {
 		return &StateError{Err: err}
@@ -87,16 +87,17 @@
 	return nil
 }
 
-// electionTimeout is how long a leader may be silent. A voter sends nothing while it saves, so no leader is replaced for
-// having been silent that long.
+// electionTimeout returns how long a leader may be silent. A voter sends nothing while it saves, so the
+// timeout is always longer than the slowest recent save.
 func (r *replica) electionTimeout() float64 {
-	return max(r.electionMillis, savesPerElection*r.slowestSave)
+	return max(r.electionMillis, savesPerElection*r.slowestSaveMillis)
 }
 
-// drawCampaignDelay draws how long a silent leader is waited for. The library's own draw can't be repeated from a seed, so
-// the library is never asked to campaign by itself.
-func (n *Node) drawCampaignDelay() {
-	n.replica.campaignAfter = n.replica.electionTimeout() * (1 + n.random.Float64())
+// randomizeCampaignDelay sets a random delay between a leader's last message and this replica's campaign. The
+// library's own random timeout can't be reproduced from a seed, so the library never starts a campaign by
+// itself.
+func (n *Node) randomizeCampaignDelay() {
+	n.replica.campaignDelay = n.replica.electionTimeout() * (1 + n.random.Float64())
 }
 
 // tickReplica passes the time to the library, and campaigns when the leader has been silent for too long.
@@ -104,7 +105,7 @@
 	r := n.replica
 	timeout := r.electionTimeout()
 	step := timeout / electionTicks
-	if n.now-r.tickedAt > timeout { // the process was stopped: those ticks did not happen
+	if n.now-r.tickedAt > timeout { // the process was suspended, so the missed ticks are skipped
 		r.tickedAt = n.now - step
 	}
 	for ; r.tickedAt+step <= n.now; r.tickedAt += step {
@@ -114,32 +115,33 @@
 			r.raw.TickQuiesced()
 		}
 	}
-	if !n.leadership.active && n.now-r.leaderSeenAt > r.campaignAfter && r.isVoter() {
-		r.leaderSeenAt = n.now
-		n.drawCampaignDelay()
-		_ = r.raw.Campaign() // one that can't be held now is held after the next delay
+	if !n.leadership.active && n.now-r.leaderHeardAt > r.campaignDelay && r.isVoter() {
+		r.leaderHeardAt = n.now
+		n.randomizeCampaignDelay()
+		_ = r.raw.Campaign() // if the library rejects it now, the next attempt follows after the next delay
 	}
 }
 
-// receiveRaft takes a message of another voter.
+// receiveRaft processes a message of another voter.
 func (n *Node) receiveRaft(from string, message *pb.Message) {
 	r := n.replica
 	if r == nil || message == nil || message.GetTo() != r.id {
-		return // for an earlier identity
+		return // the message is for an earlier identity
 	}
 	switch message.GetType() {
 	case pb.MessageType_MsgApp, pb.MessageType_MsgHeartbeat, pb.MessageType_MsgSnap:
-		r.leaderSeenAt = n.now
+		r.leaderHeardAt = n.now
 	case pb.MessageType_MsgProp, pb.MessageType_MsgReadIndex, pb.MessageType_MsgTransferLeader:
-		return // voters forward nothing of the kind
+		return // voters don't forward these to the leader
 	}
 	if len(r.peerNames) < maxPeerNames {
 		r.peerNames[message.GetFrom()] = from
 	}
-	_ = r.raw.Step(message) // what it rejects is out of date, and as if it were lost
+	_ = r.raw.Step(message) // a rejected message is out of date and counts as lost
 }
 
-// advanceRaft does the leader's work and what the library asks for, until neither has more to do.
+// advanceRaft performs the leader's duties and the work that the library requests, until neither has more to
+// do.
 func (n *Node) advanceRaft() {
 	if n.replica == nil {
 		return
@@ -153,7 +155,7 @@
 		if ready.SoftState != nil {
 			n.setLeading(ready.RaftState == raft.StateLeader)
 		}
-		n.store(&ready)
+		n.storeReady(&ready)
 		n.sendRaft(ready.Messages)
 		for _, s := range ready.ReadStates {
 			if len(s.RequestCtx) == 8 {
@@ -167,13 +169,13 @@
 	}
 }
 
-// store keeps what the library wants kept. It is saved with the next Output.
-func (n *Node) store(ready *raft.Ready) {
+// storeReady stores the snapshot, entries and hard state of a Ready. They are saved with the next Output.
+func (n *Node) storeReady(ready *raft.Ready) {
 	r := n.replica
-	// The errors of a MemoryStorage are of snapshots and entries older than what it holds, which change nothing.
+	// A MemoryStorage fails only for snapshots and entries older than its own, which change nothing.
 	if !raft.IsEmptySnap(ready.Snapshot) {
 		_ = r.storage.ApplySnapshot(ready.Snapshot)
-		_ = r.load(ready.Snapshot)
+		_ = r.loadSnapshot(ready.Snapshot)
 		n.persisted.Snapshot, n.persisted.Entries, n.dirty = ready.Snapshot, nil, true
 	}
 	if len(ready.Entries) > 0 {
@@ -191,12 +193,13 @@
 	for _, message := range messages {
 		n.send(n.replica.nameOf(message.GetTo()), RaftMessage{Raft: message})
 		if message.GetType() == pb.MessageType_MsgSnap {
-			n.replica.raw.ReportSnapshot(message.GetTo(), raft.SnapshotFinish) // one that is lost is sent again
+			// the library sends a lost snapshot again
+			n.replica.raw.ReportSnapshot(message.GetTo(), raft.SnapshotFinish)
 		}
 	}
 }
 
-// applyEntry applies a committed entry of the log. One that can't be read changes nothing, on any replica.
+// applyEntry applies a committed log entry. An entry that can't be decoded changes nothing, on any replica.
 func (n *Node) applyEntry(entry *pb.Entry) {
 	n.replica.applied = entry.GetIndex()
 	switch entry.GetType() {
@@ -212,7 +215,8 @@
 	}
 }
 
-// applyCommand changes the replicated state, and sends what follows from that.
+// applyCommand applies a command to the replicated state, and sends the notification and the result that
+// follow from it.
 func (n *Node) applyCommand(c command) {
 	outcome := n.replica.state.apply(c, n.cfg.Break == breakToken)
 	if outcome == nil {
--- a/internal/cluster/consensus/raftlogger.go
+++ b/internal/cluster/consensus/raftlogger.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// raftLogger is the library's logger: nothing of it is for operators, and what it calls fatal is a fault of this program.
+// raftLogger is the logger of the raft library. It discards messages, since none is meant for operators, and
+// panics on fatal ones, which are bugs of this program.
 type raftLogger struct{}
 
 func (raftLogger) Debug(...any)            {}
--- a/internal/cluster/consensus/rulekeys.go
+++ b/internal/cluster/consensus/rulekeys.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// ordering says which of two values of a rule is the stricter.
+// ordering defines which of two values of a rule is the stricter one.
 type ordering uint8
 
 const (
@@ -13,12 +13,14 @@
 	higherIsStricter                 // of two numbers
 	falseIsStricter                  // a permission
 	trueIsStricter                   // a prohibition
-	unordered                        // neither: while two values differ, what the rule governs is rejected
+	// neither value is stricter: while two values differ, the requests that the rule governs are rejected
+	unordered
 )
 
 func (o ordering) isBool() bool { return o == falseIsStricter || o == trueIsStricter }
 
-// ruleKey describes the rules of one name. A part of the name that varies is written *. min and max bound numbers.
+// ruleKey describes the rules of one name. In the name, * stands for the name of a class, host or database.
+// min and max are the bounds of numbers.
 type ruleKey struct {
 	name        string
 	order       ordering
@@ -40,7 +42,7 @@
 	{"database.*.paused", trueIsStricter, 0, 0, "new transactions of this database wait, or are rejected with a retry-after"},
 }
 
-// findRuleKey finds the key of a rule by the rule's name.
+// findRuleKey returns the key that describes the rule of a name.
 func findRuleKey(name string) (ruleKey, bool) {
 	for _, key := range ruleKeys {
 		if key.matches(name) {
@@ -50,8 +52,8 @@
 	return ruleKey{}, false
 }
 
-// matches says whether a rule of this name is described by the key. The name of a class, host or database may hold dots
-// itself: only the first and the last part are the key's.
+// matches reports whether the key describes the rule of a name. The name of a class, host or database may
+// itself contain dots, so only the prefix and the suffix are compared.
 func (k ruleKey) matches(name string) bool {
 	prefix, suffix, varies := strings.Cut(k.name, "*")
 	if !varies {
@@ -85,11 +87,12 @@
 	}
 }
 
-// fencedValue is the value of an unordered rule while two values differ: what it governs is rejected.
+// fencedValue is the value of an unordered rule while two values differ. The requests that the rule governs
+// are rejected.
 type fencedValue struct{}
 
-// fencedJSON is how operators see it.
+// fencedJSON represents a fencedValue in JSON.
 const fencedJSON = "fenced"
 
-// MarshalJSON is json.Marshaler's.
+// MarshalJSON implements json.Marshaler.
 func (fencedValue) MarshalJSON() ([]byte, error) { return []byte(`"` + fencedJSON + `"`), nil }
--- a/internal/cluster/consensus/rules.go
+++ b/internal/cluster/consensus/rules.go
@@ -8,46 +8,47 @@
 	"slices"
 )
 
-// Rules are what one version holds: values by name. A rule that is not there leaves the platform's own setting in force,
-// than which no agreed value is looser. Values are bool or float64, and fenced ones in effective rules.
+// Rules are the content of one version: values by name. Where a rule is absent, the platform's own setting
+// applies; no agreed value is looser than that. Values are bool or float64; in effective rules, also
+// fencedValue.
 type Rules map[string]any
 
-// Bounds of what a version may hold.
+// Limits of the size of a version.
 const (
 	maxRules      = 4096
 	maxRulesBytes = 256 << 10
 )
 
-// RulesBytesError is a text of rules that is too large.
+// RulesBytesError reports JSON text of rules that is too large.
 type RulesBytesError struct{ Bytes, Max int }
 
-// Error is the message for operators.
+// Error returns the message for operators.
 func (e *RulesBytesError) Error() string {
 	return fmt.Sprintf("the rules take %d bytes, %d are the most", e.Bytes, e.Max)
 }
 
-// RulesCountError is too many rules.
+// RulesCountError reports too many rules.
 type RulesCountError struct{ Count, Max int }
 
-// Error is the message for operators.
+// Error returns the message for operators.
 func (e *RulesCountError) Error() string {
 	return fmt.Sprintf("%d keys, %d are the most", e.Count, e.Max)
 }
 
-// UnknownRuleError is a rule of a name that there is none of.
+// UnknownRuleError reports a rule with an unknown name.
 type UnknownRuleError struct{ Rule string }
 
-// Error is the message for operators.
+// Error returns the message for operators.
 func (e *UnknownRuleError) Error() string { return e.Rule + ": there is no such key" }
 
-// RuleValueError is a rule with a value that it can't have.
+// RuleValueError reports a rule with a value that is not allowed.
 type RuleValueError struct {
 	Rule    string
 	Value   any
 	Allowed string
 }
 
-// Error is the message for operators.
+// Error returns the message for operators.
 func (e *RuleValueError) Error() string {
 	if _, fenced := e.Value.(fencedValue); fenced {
 		return e.Rule + " is fenced, which no version can ask for"
@@ -55,7 +56,7 @@
 	return fmt.Sprintf("%s is %v; %s", e.Rule, e.Value, e.Allowed)
 }
 
-// ParseRules reads rules from JSON, one object. The error names all faults, one a line.
+// ParseRules parses and validates rules from one JSON object. The error lists all invalid rules, one per line.
 func ParseRules(text []byte) (Rules, error) {
 	if len(text) > maxRulesBytes {
 		return nil, &RulesBytesError{Bytes: len(text), Max: maxRulesBytes}
@@ -67,25 +68,25 @@
 	return rules, rules.Validate()
 }
 
-// Validate says what is wrong with rules that a version is to hold; nil: nothing.
+// Validate checks whether a version may contain the rules. The error lists all invalid rules.
 func (r Rules) Validate() error {
-	var faults []error
+	var errs []error
 	if len(r) > maxRules {
-		faults = append(faults, &RulesCountError{Count: len(r), Max: maxRules})
+		errs = append(errs, &RulesCountError{Count: len(r), Max: maxRules})
 	}
 	for _, name := range slices.Sorted(maps.Keys(r)) {
 		key, ok := findRuleKey(name)
 		if !ok {
-			faults = append(faults, &UnknownRuleError{Rule: name})
-		} else if allowed := key.rejects(r[name]); allowed != "" {
-			faults = append(faults, &RuleValueError{Rule: name, Value: r[name], Allowed: allowed})
+			errs = append(errs, &UnknownRuleError{Rule: name})
+		} else if allowed := key.allowedUnlessValid(r[name]); allowed != "" {
+			errs = append(errs, &RuleValueError{Rule: name, Value: r[name], Allowed: allowed})
 		}
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
-// rejects says what values a rule takes, if the given one is none of them.
-func (k ruleKey) rejects(value any) (allowed string) {
+// allowedUnlessValid returns a description of the allowed values if the given one is not among them, else "".
+func (k ruleKey) allowedUnlessValid(value any) (allowed string) {
 	switch v := value.(type) {
 	case bool:
 		if !k.order.isBool() {
@@ -95,7 +96,7 @@
 		if k.order.isBool() {
 			return "it takes true or false"
 		}
-		if !(v >= k.min && v <= k.max) { // not a number is no number in between, either
+		if !(v >= k.min && v <= k.max) { // negated, so that NaN is rejected, too
 			return fmt.Sprintf("allowed is %v to %v", k.min, k.max)
 		}
 	default:
@@ -104,14 +105,15 @@
 	return ""
 }
 
-// Fenced says whether what a rule governs is rejected for now, since two versions differ on it and neither is stricter.
+// Fenced reports whether a rule is fenced: two versions differ on it and neither value is stricter, so the
+// requests that it governs are rejected for now.
 func (r Rules) Fenced(name string) bool {
-	_, is := r[name].(fencedValue)
-	return is
+	_, fenced := r[name].(fencedValue)
+	return fenced
 }
 
-// Strictest returns the rules that have, by name, the stricter value of both. It is commutative, associative and
-// idempotent, so the order in which a pooler learns of versions does not matter.
+// Strictest combines two sets of rules: each rule gets the stricter of its two values. The operation is
+// commutative, associative and idempotent, so the order in which a pooler learns of versions does not matter.
 func Strictest(a, b Rules) Rules {
 	out := make(Rules, max(len(a), len(b)))
 	for _, from := range []Rules{a, b} {
@@ -128,7 +130,7 @@
 	return out
 }
 
-// DiffRules describes by which rules two versions differ, one a line.
+// DiffRules describes the rules on which two versions differ, one per line.
 func DiffRules(a, b Rules) (lines []string) {
 	names := slices.Concat(slices.Collect(maps.Keys(a)), slices.Collect(maps.Keys(b)))
 	slices.Sort(names)
@@ -152,7 +154,7 @@
 	return fmt.Sprint(value)
 }
 
-// appliedTo returns a copy of rules with a change made to it. A nil value removes a rule.
+// appliedTo returns a copy of base to which the change r was applied. A nil value removes a rule.
 func (r Rules) appliedTo(base Rules) Rules {
 	out := make(Rules, len(base)+len(r))
 	maps.Copy(out, base)
@@ -164,7 +166,7 @@
 	return out
 }
 
-// UnmarshalJSON reads rules as operators are shown them, fenced values included.
+// UnmarshalJSON decodes rules, including the fenced values of effective rules.
 func (r *Rules) UnmarshalJSON(text []byte) error {
 	var values map[string]any
 	if err := json.Unmarshal(text, &values); err != nil {
--- a/internal/cluster/consensus/rules_test.go
+++ b/internal/cluster/consensus/rules_test.go
@@ -54,8 +54,8 @@
 	return k
 }
 
-// looserRule names the first rule by which a allows what b forbids. Values without an order allow something else wherever
-// they differ; a fenced one allows nothing.
+// looserRule names the first rule by which a allows what b forbids. Values without an order allow something
+// else wherever they differ; a fenced one allows nothing.
 func looserRule(a, b Rules) (name string, found bool) {
 	for _, from := range []Rules{a, b} {
 		for _, name := range slices.Sorted(maps.Keys(from)) {
--- a/internal/cluster/consensus/runner/golden_test.go
+++ b/internal/cluster/consensus/runner/golden_test.go
@@ -77,7 +77,8 @@
 	return b, goldenIdentity, err
 }
 
-// A voter's directory, with a snapshot and the log after it, is read and written again as an earlier program wrote it.
+// A voter's directory, with a snapshot and the log after it, is read and written again as an earlier program
+// wrote it.
 func TestGoldenStorage(t *testing.T) {
 	one := uint64(1)
 	vote, commit, term := uint64(5), uint64(41), uint64(4)
@@ -214,8 +215,9 @@
 	c.deliver(c.take(at))
 }
 
-// With one seed, nodes send and save the same bytes in the same order as an earlier program did: through an election,
-// versions, a job and its owner, a change of rules by that, a leader that is cut off, and a voter that lost its folder.
+// With one seed, nodes send and save the same bytes in the same order as an earlier program did: through an
+// election, versions, a job and its owner, a change of rules by that, a leader that is cut off, and a voter
+// that lost its folder.
 func TestGoldenConversation(t *testing.T) {
 	c := &goldenCluster{t: t, names: []string{"n1", "n2", "n3", "n4"}, nodes: map[string]*consensus.Node{}, saved: map[string]*consensus.PersistentState{}, cut: map[string]bool{}}
 	for i, name := range c.names {
--- a/internal/cluster/consensus/runner/loop.go
+++ b/internal/cluster/consensus/runner/loop.go
@@ -10,24 +10,27 @@
 
 const (
 	ticksPerElection = 20
-	// suspendedFor is how long a node whose state can't be persisted is stopped before it is tried again.
-	suspendedFor = 2 * time.Second
-	// warnEveryMillis is the interval of the reports of rules that are used without a lease.
-	warnEveryMillis = 100.0
-	// minLeaseRemainingMillis bounds what is reported of a lease that never was, which would be infinite.
+	// restartDelay is how long a node whose state can't be persisted stays suspended before a restart is
+	// attempted.
+	restartDelay = 2 * time.Second
+	// overrunReportIntervalMillis is the interval of the reports that rules are used without a lease.
+	overrunReportIntervalMillis = 100.0
+	// minLeaseRemainingMillis is the lowest remaining time that is reported. A node that never had a lease
+	// would report minus infinity.
 	minLeaseRemainingMillis = -1e9
 )
 
-// loop is the one goroutine that touches the node and the storage.
+// loop is the state of the only goroutine that accesses the node and the storage.
 type loop struct {
 	runner      *Runner
 	node        *consensus.Node // nil: suspended, since its state could not be persisted
 	suspendedAt time.Time
-	waiting     map[uint64]chan consensus.ProposalResult // of proposals, by ID
+	waiting     map[uint64]chan consensus.ProposalResult // receive the results of proposals, by ID
 
-	notified    *consensus.EffectiveKey // that OnChange was called for; nil: none yet
-	leaseUntil  float64                 // that OnLease was called for
-	nextWarning float64                 // by OnLease
+	notifiedKey    *consensus.EffectiveKey // key of the rules at the last call of OnChange; nil: none yet
+	notifiedExpiry float64                 // expiry of the lease at the last call of OnLease
+	// earliest time of the next report of rules that are used without a lease
+	nextOverrunReport float64
 }
 
 func newLoop(r *Runner, node *consensus.Node) *loop {
@@ -67,19 +70,19 @@
 			reply <- l.view()
 			continue
 		}
-		l.carryOutput()
+		l.processOutput()
 		l.notifyChange(now)
 		l.notifyLease(now)
 	}
 }
 
-// tick passes the time, or tries a suspended node again.
+// tick passes the time to the node, or tries to restart a suspended one.
 func (l *loop) tick(now float64) {
 	if l.node != nil {
 		l.node.Tick(now)
 		return
 	}
-	if time.Since(l.suspendedAt) <= suspendedFor {
+	if time.Since(l.suspendedAt) <= restartDelay {
 		return
 	}
 	if l.node = l.restart(); l.node == nil {
@@ -87,7 +90,7 @@
 	}
 }
 
-// restart returns a node on the persisted state; nil: that can't be had yet.
+// restart returns a node with the persisted state; nil: the state can't be loaded, or is not durable, yet.
 func (l *loop) restart() *consensus.Node {
 	state, err := l.runner.load()
 	if err != nil {
@@ -98,7 +101,7 @@
 		slog.Error("cluster: consensus node can't start", "error", err)
 		return nil
 	}
-	slog.Info("cluster: consensus resumes on persisted state")
+	slog.Info("cluster: consensus resumed with the persisted state")
 	return node
 }
 
@@ -122,9 +125,9 @@
 	l.waiting[c.id] = c.reply
 }
 
-// carryOutput does what the node wants done. If its state can't be persisted, nothing of it has happened, and the node is
-// stopped as if its process had ended.
-func (l *loop) carryOutput() {
+// processOutput performs the work that the node requests. If the node's state can't be persisted, none of
+// that work is done and the node is suspended, as if its process had ended.
+func (l *loop) processOutput() {
 	if l.node == nil {
 		return
 	}
@@ -150,11 +153,11 @@
 	if r.storage == nil {
 		return true
 	}
-	begun := time.Now()
+	startedAt := time.Now()
 	err := r.storage.Save(state)
-	l.node.RecordSaveDuration(clock.Millis(time.Since(begun)))
+	l.node.RecordSaveDuration(clock.Millis(time.Since(startedAt)))
 	if err != nil && r.savesFailed.Add(1) == 1 {
-		slog.Error("cluster: consensus suspended: state can't be persisted; acting on the present lease until it ends", "error", err)
+		slog.Error("cluster: consensus suspended: state can't be persisted; acting on the current lease until it expires", "error", err)
 	}
 	return err == nil
 }
@@ -175,30 +178,30 @@
 	}
 }
 
-// notifyChange calls OnChange if the effective rules are others than at the last call.
+// notifyChange calls OnChange if the effective rules changed since the last call.
 func (l *loop) notifyChange(now float64) {
 	if l.runner.options.OnChange == nil {
 		return
 	}
 	lease := l.runner.Lease()
 	key := lease.EffectiveKey(now)
-	if l.notified == nil || key != *l.notified {
-		l.notified = &key
+	if l.notifiedKey == nil || key != *l.notifiedKey {
+		l.notifiedKey = &key
 		l.runner.options.OnChange(lease.Effective(now))
 	}
 }
 
-// notifyLease calls OnLease for a new lease. A grant that came too late for its lease is none; to use rules without a lease
-// is a fault, which is reported again and again.
+// notifyLease calls OnLease for a new lease that has not expired already. It also calls OnLease at a fixed
+// interval while rules are used without a lease, which is a fault.
 func (l *loop) notifyLease(now float64) {
 	if l.runner.options.OnLease == nil {
 		return
 	}
 	lease := l.runner.Lease()
-	isNew := lease.ExpiresAt != l.leaseUntil && now < lease.ExpiresAt
-	isOverrun := now >= lease.ExpiresAt && !lease.Expired(now) && now >= l.nextWarning
+	isNew := lease.ExpiresAt != l.notifiedExpiry && now < lease.ExpiresAt
+	isOverrun := now >= lease.ExpiresAt && !lease.Expired(now) && now >= l.nextOverrunReport
 	if isNew || isOverrun {
-		l.leaseUntil, l.nextWarning = lease.ExpiresAt, now+warnEveryMillis
+		l.notifiedExpiry, l.nextOverrunReport = lease.ExpiresAt, now+overrunReportIntervalMillis
 		l.runner.options.OnLease(max(lease.ExpiresAt-now, minLeaseRemainingMillis))
 	}
 }
--- a/internal/cluster/consensus/runner/runner.go
+++ b/internal/cluster/consensus/runner/runner.go
@@ -1,9 +1,10 @@
-// Package runner runs a consensus node in a process: it persists the node's state, carries its messages and passes it the
-// time.
+// Package runner runs a consensus node in a process: it persists the node's state, sends and receives its
+// messages and passes it the time.
 //
-// One goroutine, the loop, owns the node and the Storage; nothing else touches either. The methods of a Runner talk to it
-// through channels, or read the lease that it publishes. Stop ends the loop, waits for it and then closes the Storage.
-// There is no lock; the loop calls Options.Send, OnChange and OnLease, which therefore must not wait for the Runner.
+// One goroutine, the loop, owns the node and the Storage; nothing else accesses either. The methods of a
+// Runner communicate with the loop through channels, or read the lease that it publishes. Stop ends the loop,
+// waits for it and then closes the Storage. There is no lock; the loop calls Options.Send, OnChange and
+// OnLease, which therefore must not wait for the Runner.
 package runner
 
 import (
@@ -22,18 +23,24 @@
 	"ashstand/internal/vfs"
 )
 
-// Options are what a runner needs.
+// Options configure a Runner.
 type Options struct {
-	Config    consensus.Config
-	Directory string // for the persisted state; "": none, and such a pooler can't vote
+	Config consensus.Config
+	// Directory is where the state is persisted; "": nowhere, and such a pooler can't vote.
+	Directory string
 	FS        vfs.FS // nil: the operating system's
 	Clock     clock.Clock
-	Send      func(to string, message []byte) // never waits; what can't be sent is lost
-	OnChange  func(consensus.EffectiveRules)  // called whenever the effective rules change; nil: not called
-	OnLease   func(remainingMillis float64)   // called for each new lease, and while rules are used without one; for the testbed; nil: not called
+	// Send sends a message. It must not block, and drops messages that it can't send.
+	Send func(to string, message []byte)
+	// OnChange is called whenever the effective rules change; nil: not called.
+	OnChange func(consensus.EffectiveRules)
+	// OnLease is called for each new lease, and repeatedly while rules are used without one; nil: not called.
+	// The testbed uses it.
+	OnLease func(remainingMillis float64)
 }
 
-// maxInbox bounds the messages that wait for the loop. More are dropped: their senders repeat them.
+// maxInbox is the maximum number of messages that wait for the loop. Further ones are dropped; their senders
+// repeat them.
 const maxInbox = 1024
 
 // Runner runs one node. Its methods are safe for concurrent use.
@@ -44,25 +51,26 @@
 	inbox    chan consensus.Message
 	calls    chan call
 	views    chan chan View
-	reports  chan jobs.Report // holds the latest only
+	reports  chan jobs.Report // holds only the latest report
 	stopping chan struct{}    // closed by Stop
 	running  sync.WaitGroup
 
-	lease             atomic.Pointer[consensus.Lease] // published by the loop, after what it rests on is persisted
+	// published by the loop once the state that it depends on is persisted
+	lease             atomic.Pointer[consensus.Lease]
 	messagesLost      atomic.Int64
 	messagesMalformed atomic.Int64
 	savesFailed       atomic.Int64
-	isSuspended       atomic.Bool // the state can't be persisted, so the node is stopped
+	isSuspended       atomic.Bool // the state can't be persisted, so the node does not run
 }
 
 // call is a request to the loop: to propose something, or to abandon a proposal.
 type call struct {
 	id      uint64
 	propose func(n *consensus.Node, now float64, id uint64) error // nil: abandon
-	reply   chan consensus.ProposalResult                         // of room for one
+	reply   chan consensus.ProposalResult                         // buffered, so that the loop never waits
 }
 
-// Start runs a node on its persisted state. The caller stops the Runner.
+// Start starts a node with its persisted state. The caller has to call Stop.
 func Start(o Options) (*Runner, error) {
 	if o.Directory == "" && slices.Contains(o.Config.Voters, o.Config.Name) {
 		return nil, &consensus.NoStorageError{Pooler: o.Config.Name}
@@ -94,8 +102,8 @@
 	return r, nil
 }
 
-// firstNode returns the node of the persisted state, and publishes its lease. nil: the state is not durable, and the
-// pooler goes by its limits until it is.
+// firstNode returns a node with the persisted state, and publishes its lease. It returns nil if the state is
+// not durable; until it is, the pooler acts on its limits.
 func (r *Runner) firstNode() (*consensus.Node, error) {
 	state, err := r.load()
 	notDurable := errors.Is(err, ErrNotDurable)
@@ -116,7 +124,7 @@
 	return node, nil
 }
 
-// load reads the persisted state. With one that is a copy or malformed, the node gets a new identity.
+// load reads the persisted state. If the state is a copy or malformed, the node gets a new identity.
 func (r *Runner) load() (*consensus.PersistentState, error) {
 	if r.storage == nil {
 		return nil, nil
@@ -147,18 +155,18 @@
 	r.closeStorage()
 }
 
-// Effective returns the rules to go by now.
+// Effective returns the rules to act on now.
 func (r *Runner) Effective() consensus.EffectiveRules {
 	return r.Lease().Effective(r.options.Clock.Now())
 }
 
-// Lease returns the present lease. It is not to be changed.
+// Lease returns the current lease. Callers must not modify it.
 func (r *Runner) Lease() *consensus.Lease { return r.lease.Load() }
 
-// IsStorageHealthy says whether the state can be persisted.
+// IsStorageHealthy reports whether the state can be persisted.
 func (r *Runner) IsStorageHealthy() bool { return !r.isSuspended.Load() }
 
-// Receive takes a message from another pooler. It never waits.
+// Receive queues a message from another pooler. It never blocks.
 func (r *Runner) Receive(text []byte) {
 	message, err := consensus.DecodeMessage(text)
 	if err != nil {
@@ -176,15 +184,15 @@
 	}
 }
 
-// SetReport sets what this pooler reports of itself with its next lease requests.
+// SetReport sets the report that this pooler sends with its next lease requests.
 func (r *Runner) SetReport(report jobs.Report) {
 	select {
-	case <-r.reports: // one that the loop has not taken yet is out of date
+	case <-r.reports: // discard a report that the loop has not received yet
 	default:
 	}
 	select {
 	case r.reports <- report:
-	default: // another call came first
+	default: // a concurrent call set its report first
 	}
 }
 
@@ -196,8 +204,9 @@
 	return r.propose(ctx, func(n *consensus.Node, now float64, id uint64) error { return n.Propose(now, id, rules) })
 }
 
-// ProposeJobEntry proposes an entry about a job and waits until it is committed, or rejected (*jobs.RejectedError). With a
-// change it makes a version of the rules, whose number it returns. After any other error it may still be committed.
+// ProposeJobEntry proposes an entry about a job and waits until it is committed, or rejected
+// (*jobs.RejectedError). If change is not nil, the entry also creates a version of the rules, whose number is
+// returned. After any other error the entry may still be committed.
 func (r *Runner) ProposeJobEntry(ctx context.Context, e jobs.Entry, change consensus.Rules) (version int, err error) {
 	if rejected := e.Validate(); rejected != nil {
 		return 0, rejected
@@ -205,9 +214,9 @@
 	return r.propose(ctx, func(n *consensus.Node, now float64, id uint64) error { return n.ProposeJobEntry(now, id, e, change) })
 }
 
-// propose has the loop propose something and waits for the result.
+// propose passes a proposal to the loop and waits for the result.
 func (r *Runner) propose(ctx context.Context, propose func(*consensus.Node, float64, uint64) error) (version int, err error) {
-	begun := time.Now()
+	startedAt := time.Now()
 	c := call{id: rand.Uint64(), propose: propose, reply: make(chan consensus.ProposalResult, 1)}
 	select {
 	case r.calls <- c:
@@ -221,13 +230,13 @@
 		return result.VersionNumber, resultError(result)
 	case <-ctx.Done():
 		r.abandon(c.id)
-		return 0, &consensus.NoLeaderError{Waited: time.Since(begun), Err: ctx.Err()}
+		return 0, &consensus.NoLeaderError{Waited: time.Since(startedAt), Err: ctx.Err()}
 	case <-r.stopping:
 		return 0, &consensus.ShutdownError{MayHaveCommitted: true}
 	}
 }
 
-// abandon tells the loop that nobody waits for a proposal's result any more.
+// abandon tells the loop that a proposal's result is no longer awaited.
 func (r *Runner) abandon(id uint64) {
 	select {
 	case r.calls <- call{id: id}:
--- a/internal/cluster/consensus/runner/runner_test.go
+++ b/internal/cluster/consensus/runner/runner_test.go
@@ -68,7 +68,8 @@
 	f.Close()
 }
 
-// memoryDir is a directory in memory where there is such a place, so that no test depends on the speed of a disk.
+// memoryDir is a directory in memory where there is such a place, so that no test depends on the speed of a
+// disk.
 func memoryDir(t *testing.T) string {
 	path, err := os.MkdirTemp("/dev/shm", "ashstand-test-")
 	if err != nil {
@@ -190,7 +191,8 @@
 	require.Eventually(t, func() bool { return !w.of["n3"].Effective().LeaseExpired }, 10*time.Second, 5*time.Millisecond)
 }
 
-// A directory that can't be written is like a process that ended: nothing is sent or acted on that is not persisted.
+// A directory that can't be written is like a process that ended: nothing is sent or acted on that is not
+// persisted.
 func TestFullDisk(t *testing.T) {
 	path := filepath.Join(memoryDir(t), "a")
 	require.NoError(t, Bootstrap(vfs.OS{}, path, "n1", []string{"n1"}))
@@ -276,7 +278,8 @@
 	require.Eventually(t, func() bool { return r.IsStorageHealthy() && !r.Effective().LeaseExpired }, 10*time.Second, 10*time.Millisecond)
 }
 
-// A voter sends nothing while it saves. No leader may be replaced for that, or elections fail for as long as a disk is slow.
+// A voter sends nothing while it saves. No leader may be replaced for that, or elections fail for as long as
+// a disk is slow.
 func TestSlowDiskDelaysElections(t *testing.T) {
 	at := 1000.0
 	n, err := consensus.New(consensus.Config{Name: "n1", Voters: []string{"n1", "n2", "n3"}, LeaseMillis: 600, RenewIntervalMillis: 60, ElectionTimeoutMillis: 100, Seed: 1}, consensus.InitialState("n1", []string{"n1", "n2", "n3"}), at)
--- a/internal/cluster/consensus/runner/statefile.go
+++ b/internal/cluster/consensus/runner/statefile.go
@@ -17,10 +17,11 @@
 // stateFormat is the format of the state file that this program writes and reads.
 const stateFormat = 1
 
-var errChecksum = errors.New("its checksum is another")
+var errChecksum = errors.New("checksum mismatch")
 
-// stateFile is the content of the state file after its first line, which is the checksum of the rest. The file's identity
-// is part of it: a copy has another one, however it was made, also if it was written over the original.
+// stateFile is the content of the state file after its first line, which is the checksum of the rest.
+// Identity is the file system's identity of the file. It reveals a copy, however that was made: a copy has
+// another identity, even one that replaced the original.
 type stateFile struct {
 	Format   int                    `json:"format"`
 	Identity string                 `json:"birth"`
@@ -33,18 +34,18 @@
 
 func checksum(content []byte) string { return strconv.FormatUint(xxhash.Sum64(content), 16) }
 
-// encodeState returns the file for a state that is written as the file of that identity.
+// encodeState returns the content of the state file with a given identity.
 func encodeState(state *consensus.PersistentState, identity string) ([]byte, error) {
 	file := stateFile{Format: stateFormat, Identity: identity, ID: state.ID, Versions: state.Versions}
 	var err error
-	if file.Hard, err = marshalValid(state.HardState); err != nil {
+	if file.Hard, err = marshalOrNil(state.HardState); err != nil {
 		return nil, err
 	}
-	if file.Snapshot, err = marshalValid(state.Snapshot); err != nil {
+	if file.Snapshot, err = marshalOrNil(state.Snapshot); err != nil {
 		return nil, err
 	}
 	for _, entry := range state.Entries {
-		encoded, err := marshalValid(entry)
+		encoded, err := marshalOrNil(entry)
 		if err != nil {
 			return nil, err
 		}
@@ -57,15 +58,15 @@
 	return append([]byte(checksum(content)+"\n"), content...), nil
 }
 
-// marshalValid returns a message's form; nil for a nil message.
-func marshalValid(message proto.Message) ([]byte, error) {
+// marshalOrNil returns the encoded message; nil for a nil message.
+func marshalOrNil(message proto.Message) ([]byte, error) {
 	if !message.ProtoReflect().IsValid() {
 		return nil, nil
 	}
 	return proto.Marshal(message)
 }
 
-// decodeState returns a file's state, and the identity of the file that it was written as.
+// decodeState returns the state in a file, and the file identity that the writer recorded in it.
 func decodeState(text []byte) (state *consensus.PersistentState, identity string, err error) {
 	sum, content, ok := bytes.Cut(text, []byte("\n"))
 	if !ok || string(sum) != checksum(content) {
--- a/internal/cluster/consensus/runner/view.go
+++ b/internal/cluster/consensus/runner/view.go
@@ -7,7 +7,7 @@
 	"ashstand/internal/cluster/consensus"
 )
 
-// View is what operators see of a runner. Its JSON form is part of the admin socket's.
+// View is the state of a Runner that operators see. Its JSON form is part of the admin socket's answers.
 type View struct {
 	Enabled                  bool                     `json:"on"`
 	Effective                consensus.EffectiveRules `json:"acting"`
@@ -22,7 +22,7 @@
 	SavesFailed              int64                    `json:"saves_failed"`
 }
 
-// View returns it. After Stop it is empty.
+// View returns the current state of the Runner. After Stop it is empty.
 func (r *Runner) View() View {
 	reply := make(chan View, 1)
 	select {
@@ -33,7 +33,7 @@
 	}
 }
 
-// view is called by the loop, which owns the node.
+// view returns the current state. Only the loop, which owns the node, may call it.
 func (l *loop) view() View {
 	r := l.runner
 	now, lease := r.options.Clock.Now(), r.Lease()
@@ -47,7 +47,7 @@
 	}
 	view.BoundMillis, view.BoundAfterElectionMillis = r.options.Config.ActivationBoundMillis()
 	if l.node != nil {
-		// Copies: the node changes its own while the view is read.
+		// Copies, since the node modifies its own while a caller reads the view.
 		view.IsLeader, view.Voters, view.Versions = l.node.IsLeader(), maps.Clone(l.node.Voters()), slices.Clone(l.node.Versions())
 	}
 	return view
--- a/internal/cluster/consensus/scheduling.go
+++ b/internal/cluster/consensus/scheduling.go
@@ -7,33 +7,33 @@
 	"ashstand/internal/cluster/jobs"
 )
 
-// assignJobs proposes the entries that the scheduler wants: who is to hold the lease of which job. A new leader does not
-// know who holds leases until those of the leader before have ended.
+// assignJobs proposes the scheduler's entries, which assign the leases of jobs to poolers. A new leader does
+// not know all lease holders until the leases that the previous leader granted have expired.
 func (n *Node) assignJobs() {
 	l, state := &n.leadership, &n.replica.state
 	if state.JobsEpoch == 0 && l.scheduler.HighestToken == 0 || n.replica.confState == nil {
 		return
 	}
-	if n.now-l.scheduledAt < n.cfg.RenewIntervalMillis/4 && state.Jobs.Revision == l.scheduledRev {
+	if n.now-l.scheduledAt < n.cfg.RenewIntervalMillis/4 && state.Jobs.Revision == l.scheduledRevision {
 		return
 	}
-	l.scheduledAt, l.scheduledRev = n.now, state.Jobs.Revision
+	l.scheduledAt, l.scheduledRevision = n.now, state.Jobs.Revision
 	for _, entry := range l.scheduler.Tick(n.now, &state.Jobs, l.candidates(), n.now < l.leasesEndedAt) {
-		_ = n.append(applyJobEntry{ID: n.random.Uint64(), Entry: &entry}) // one that is lost is proposed again
+		_ = n.append(applyJobEntry{ID: n.random.Uint64(), Entry: &entry}) // the scheduler repeats a lost entry
 	}
 }
 
-// candidates are the poolers whose lease may still run, in a fixed order.
+// candidates returns the poolers whose lease may not have expired yet, in a fixed order.
 func (l *leadership) candidates() []jobs.Candidate {
 	candidates := make([]jobs.Candidate, 0, len(l.holders))
 	for _, key := range slices.Sorted(maps.Keys(l.holders)) {
 		h := l.holders[key]
-		candidates = append(candidates, jobs.Candidate{Name: h.name, Incarnation: h.incarnation, LeaseUntil: h.until, Report: h.report})
+		candidates = append(candidates, jobs.Candidate{Name: h.name, Incarnation: h.incarnation, LeaseUntil: h.expiresAt, Report: h.report})
 	}
 	return candidates
 }
 
-// notifyHolder tells a job's new lease holder at once, rather than with its next lease.
+// notifyHolder notifies a job's new lease holder at once, rather than with its next lease grant.
 func (n *Node) notifyHolder(e *jobs.Entry) {
 	if !n.leadership.active || e.Type != jobs.EntryAssign {
 		return
--- a/internal/cluster/consensus/state.go
+++ b/internal/cluster/consensus/state.go
@@ -7,30 +7,31 @@
 	"ashstand/internal/cluster/jobs"
 )
 
-// Bounds of what the replicated state keeps.
+// Limits of the replicated state.
 const (
 	maxVersionHistory = 32
 	maxOutcomes       = 256
 )
 
-// replicatedState is what the log's entries amount to. It is the same on every replica that has applied the same entries:
-// nothing in it may depend on a node's own time, configuration or random source. Its JSON form is the content of snapshots.
+// replicatedState is the state that results from applying the log's entries. It is the same on every replica
+// that has applied the same entries, so nothing in it may depend on a node's own time, configuration or
+// random source. Its JSON form is the content of snapshots.
 type replicatedState struct {
 	LastVersion int               `json:"last"` // number of the newest version
 	Versions    VersionState      `json:"held"`
-	History     []Version         `json:"versions"` // the newest few, for operators
-	Names       map[uint64]string `json:"names"`    // of voters and learners, by identity
-	Outcomes    []proposalOutcome `json:"done"`     // of the latest proposals, so that one that is sent again counts once
+	History     []Version         `json:"versions"` // the newest maxVersionHistory versions, for operators
+	Names       map[uint64]string `json:"names"`    // names of voters and learners, by identity
+	Outcomes    []proposalOutcome `json:"done"`     // outcomes of the latest proposals, so that a repeated one takes effect once
 	JobsEpoch   uint64            `json:"epoch,omitempty"`
 	Jobs        jobs.StateMachine `json:"ledger"`
 }
 
-// proposalOutcome is what became of a proposal that was committed to the log.
+// proposalOutcome is the outcome of a proposal that was committed to the log.
 type proposalOutcome struct {
 	ID            uint64              `json:"id"`
-	VersionNumber int                 `json:"n,omitempty"` // 0: it made none
+	VersionNumber int                 `json:"n,omitempty"` // of the version that the proposal created; 0: none
 	Reason        string              `json:"why,omitempty"`
-	IsJobEntry    bool                `json:"work,omitempty"` // an entry about a job that was applied or rejected as such
+	IsJobEntry    bool                `json:"work,omitempty"` // the proposal was an entry about a job, and the jobs' state machine applied or rejected it
 	Job           string              `json:"name,omitempty"`
 	Rejected      *jobs.RejectedError `json:"refused,omitempty"`
 }
@@ -39,8 +40,8 @@
 	return o.VersionNumber > 0 || o.IsJobEntry && o.Rejected == nil
 }
 
-// apply takes a committed command. It returns the outcome of a proposal that had none before, else nil. reuseTokens breaks
-// the fencing tokens.
+// apply applies a committed command. It returns the outcome of a proposal that had none before, else nil.
+// reuseTokens switches off the guarantee that fencing tokens rise.
 func (s *replicatedState) apply(c command, reuseTokens bool) *proposalOutcome {
 	switch c := c.(type) {
 	case proposeVersion:
@@ -61,7 +62,7 @@
 	return nil
 }
 
-// outcome finds a proposal among the latest; nil: it is not there.
+// outcome returns the outcome of a proposal if it is among the latest; else nil.
 func (s *replicatedState) outcome(id uint64) *proposalOutcome {
 	i := slices.IndexFunc(s.Outcomes, func(o proposalOutcome) bool { return o.ID == id })
 	if i < 0 {
@@ -70,7 +71,7 @@
 	return &s.Outcomes[i]
 }
 
-// record keeps an outcome. The oldest ones are dropped.
+// record stores an outcome and drops the oldest ones beyond maxOutcomes.
 func (s *replicatedState) record(o proposalOutcome) *proposalOutcome {
 	s.Outcomes = append(s.Outcomes, o)
 	s.Outcomes = s.Outcomes[max(0, len(s.Outcomes)-maxOutcomes):]
@@ -80,20 +81,20 @@
 func (s *replicatedState) applyVersion(c proposeVersion) proposalOutcome {
 	outcome := proposalOutcome{ID: c.ID}
 	if p := s.Versions.Pending; p != nil {
-		outcome.Reason = precededBy(p)
+		outcome.Reason = pendingVersionReason(p)
 	} else {
 		outcome.VersionNumber = s.addVersion(c.Version)
 	}
 	return outcome
 }
 
-// precededBy is the reason for which a committed version is dropped. It is part of the replicated state: replicas of all
-// program versions have to give the same.
-func precededBy(pending *Version) string {
+// pendingVersionReason returns the reason why a committed version is rejected while another one is pending.
+// The text is part of the replicated state, so all versions of this program have to return the same.
+func pendingVersionReason(pending *Version) string {
 	return fmt.Sprintf("version %d came first and is not in force yet", pending.Number)
 }
 
-// addVersion makes rules the next version, which is pending.
+// addVersion gives a version the next number and makes it the pending one.
 func (s *replicatedState) addVersion(v Version) (number int) {
 	s.LastVersion++
 	v.Number = s.LastVersion
@@ -106,7 +107,7 @@
 func (s *replicatedState) applyJobEntry(c applyJobEntry, reuseTokens bool) proposalOutcome {
 	outcome := proposalOutcome{ID: c.ID, IsJobEntry: true, Job: c.Entry.Job}
 	if s.JobsEpoch == 0 {
-		s.JobsEpoch = c.ID | 1 // drawn by the proposer, so that a cluster that is bootstrapped anew has another one
+		s.JobsEpoch = c.ID | 1 // the ID is random, so a cluster that is bootstrapped again gets a different epoch
 	}
 	if c.Change != nil && c.Entry.Type != jobs.EntryAuthorize {
 		outcome.Rejected = &jobs.RejectedError{Reason: jobs.RejectMalformed, Job: c.Entry.Job}
@@ -117,7 +118,7 @@
 		return outcome
 	}
 	if p := s.Versions.Pending; p != nil {
-		outcome.IsJobEntry, outcome.Reason = false, precededBy(p)
+		outcome.IsJobEntry, outcome.Reason = false, pendingVersionReason(p)
 		return outcome
 	}
 	rules := c.Change.appliedTo(s.Versions.Active.Rules)
@@ -125,7 +126,7 @@
 	return outcome
 }
 
-// result is what the proposer is told of an outcome.
+// result returns the message that tells the proposer of an outcome.
 func (s *replicatedState) result(o *proposalOutcome) ProposalResult {
 	result := ProposalResult{ID: o.ID, Accepted: o.accepted(), VersionNumber: o.VersionNumber, Reason: o.Reason, Rejected: o.Rejected}
 	if o.Rejected != nil {
--- a/internal/cluster/consensus/state_test.go
+++ b/internal/cluster/consensus/state_test.go
@@ -74,8 +74,8 @@
 	data, err := json.Marshal(original)
 	require.NoError(t, err)
 	r := &replica{}
-	require.Error(t, r.load(snapshotOf([]byte("["))))
-	require.NoError(t, r.load(snapshotOf(data)))
+	require.Error(t, r.loadSnapshot(snapshotOf([]byte("["))))
+	require.NoError(t, r.loadSnapshot(snapshotOf(data)))
 	for _, c := range []command{activateVersion{Number: 5}, proposeVersion{ID: 40, Version: goldenVersion(0)}, proposeVersion{ID: 18}} {
 		require.Equal(t, original.apply(c, false), r.state.apply(c, false))
 	}
--- a/internal/cluster/consensus/version.go
+++ b/internal/cluster/consensus/version.go
@@ -10,16 +10,16 @@
 	Format     int    `json:"format"` // the oldest format of rules that can express it
 }
 
-// VersionState is what a pooler acts on. It is persisted, so that a pooler never goes back to an earlier version. Its JSON
-// form is stored, and sent between poolers.
+// VersionState is the versions that a pooler acts on. It is persisted, so that a pooler never goes back to an
+// earlier version. Its JSON form is stored, and sent between poolers.
 type VersionState struct {
 	Active  Version  `json:"force"`
-	Pending *Version `json:"pending,omitempty"` // committed, and not yet confirmed by all; nil: none
+	Pending *Version `json:"pending,omitempty"` // committed, but not yet active; nil: none
 	// HighestToken is the highest fencing token of a job that this pooler has seen.
 	HighestToken jobs.FencingToken `json:"seen,omitempty"`
 }
 
-// newest is the number of the newest version that is acted on, alone or beside an older one.
+// newest returns the number of the newest version that the pooler acts on, alone or combined with an older one.
 func (s *VersionState) newest() int {
 	if s.Pending != nil {
 		return s.Pending.Number
@@ -27,7 +27,7 @@
 	return s.Active.Number
 }
 
-// advancedTo returns the state after another one was received, whose versions may be older or newer.
+// advancedTo returns the state after merging a received one, whose versions may be older or newer.
 func (s VersionState) advancedTo(received VersionState) VersionState {
 	if received.Active.Number > s.Active.Number {
 		s.Active = received.Active
@@ -41,7 +41,7 @@
 	return s
 }
 
-// sameVersions says whether both states are of the same versions.
+// sameVersions reports whether both states have the same active and pending versions.
 func (s *VersionState) sameVersions(other *VersionState) bool {
 	if s.Active.Number != other.Active.Number || (s.Pending == nil) != (other.Pending == nil) {
 		return false
--- a/internal/cluster/consensus/voters.go
+++ b/internal/cluster/consensus/voters.go
@@ -11,22 +11,24 @@
 
 const (
 	maxHellos = 64
-	// maxLearnerLag is by how many entries a learner may be behind when it becomes a voter.
+	// maxLearnerLag is the maximum number of entries that a learner may lack when it becomes a voter.
 	maxLearnerLag = 2
 )
 
-// voterIdentity is the context of a change of the voters: whose identity it concerns. Its JSON form is part of the log.
+// voterIdentity is the context of a configuration change: the identity that it admits and the voter's name.
+// Its JSON form is part of the log.
 type voterIdentity struct {
 	ID   uint64
 	Name string
 }
 
-// isVoter says whether the log has this replica's identity among the voters.
+// isVoter reports whether this replica's identity is among the voters in the log.
 func (r *replica) isVoter() bool {
 	return r.confState != nil && (slices.Contains(r.confState.GetVoters(), r.id) || slices.Contains(r.confState.GetVotersOutgoing(), r.id))
 }
 
-// nameOf is the name of an identity; "": unknown. A learner without the log knows it from messages alone.
+// nameOf returns the name of an identity; "": unknown. A learner that has not received the log yet knows
+// names only from messages.
 func (r *replica) nameOf(id uint64) string {
 	if name, ok := r.state.Names[id]; ok {
 		return name
@@ -34,7 +36,7 @@
 	return r.peerNames[id]
 }
 
-// sendHello asks to be admitted under the present identity.
+// sendHello asks the other voters to admit this node under its current identity.
 func (n *Node) sendHello() {
 	for _, voter := range n.cfg.Voters {
 		if voter != n.cfg.Name {
@@ -50,12 +52,13 @@
 	}
 }
 
-// admitVoters admits a voter that lost its state under its new identity: first as a learner, which receives the log, then
-// in place of its old identity, in one joint change that the majorities before and after agree to.
+// admitVoters admits a voter that lost its state under its new identity: first as a learner, which receives
+// the log, then in place of its old identity, in one joint change that the majorities before and after agree
+// to.
 func (n *Node) admitVoters() {
 	confState := n.replica.confState
 	if confState == nil || len(confState.GetVotersOutgoing()) > 0 {
-		return // a change is under way
+		return // a joint change is in progress
 	}
 	hellos := n.leadership.hellos
 	for _, name := range slices.Sorted(maps.Keys(hellos)) {
@@ -72,13 +75,14 @@
 		if err != nil {
 			panic(err) // a name and a number always have a JSON form
 		}
-		_ = n.replica.raw.ProposeConfChange(&pb.ConfChangeV2{Changes: changes, Context: context}) // a rejected one is made again at the next hello
+		// after a rejection, the next hello leads to a new proposal
+		_ = n.replica.raw.ProposeConfChange(&pb.ConfChangeV2{Changes: changes, Context: context})
 		delete(hellos, name)
 		return
 	}
 }
 
-// admission is the next step of admitting a voter; nil: it has to receive more of the log first.
+// admission returns the next step of admitting a voter; nil: the learner has to receive more of the log first.
 func (n *Node) admission(name string, id uint64) []*pb.ConfChangeSingle {
 	if !slices.Contains(n.replica.confState.GetLearners(), id) {
 		return []*pb.ConfChangeSingle{confChange(pb.ConfChangeType_ConfChangeAddLearnerNode, id)}
@@ -88,9 +92,9 @@
 		return nil
 	}
 	changes := []*pb.ConfChangeSingle{confChange(pb.ConfChangeType_ConfChangeAddNode, id)}
-	for old, of := range n.replica.state.Names {
-		if of == name && old != id {
-			changes = append(changes, confChange(pb.ConfChangeType_ConfChangeRemoveNode, old))
+	for oldID, oldName := range n.replica.state.Names {
+		if oldName == name && oldID != id {
+			changes = append(changes, confChange(pb.ConfChangeType_ConfChangeRemoveNode, oldID))
 		}
 	}
 	slices.SortFunc(changes, func(a, b *pb.ConfChangeSingle) int { return cmp.Compare(a.GetNodeId(), b.GetNodeId()) })
@@ -101,15 +105,18 @@
 	return &pb.ConfChangeSingle{Type: &kind, NodeId: &id}
 }
 
-// applyConfChange applies a committed change of the voters.
+// applyConfChange applies a committed configuration change.
 func (n *Node) applyConfChange(change *pb.ConfChangeV2) {
 	r := n.replica
 	r.confState = r.raw.ApplyConfChange(change)
 	var identity voterIdentity
-	if json.Unmarshal(change.GetContext(), &identity) == nil && identity.ID != 0 { // the second step of a joint change has none
+	// the entry that leaves a joint configuration has no context
+	if json.Unmarshal(change.GetContext(), &identity) == nil && identity.ID != 0 {
 		r.state.Names[identity.ID] = identity.Name
 	}
 	members := slices.Concat(r.confState.GetVoters(), r.confState.GetVotersOutgoing(), r.confState.GetLearners(), r.confState.GetLearnersNext())
 	maps.DeleteFunc(r.state.Names, func(id uint64, _ string) bool { return !slices.Contains(members, id) })
-	n.compact() // the library rejects a snapshot from before its node was a member, so a learner needs this one
+	// the library rejects a snapshot that lacks its own node as a member, so a new learner needs one made
+	// after this change
+	n.compact()
 }
