--- a/internal/cluster/consensus/client.go
+++ b/internal/cluster/consensus/client.go
@@ -13,8 +13,8 @@
 const (
 	// maxNonces is the number of latest lease requests whose grants are still accepted.
 	maxNonces = 32
-	// requestsBeforeLeaderSearch is the number of requests without a lease after which the client looks for the leader
-	// again.
+	// requestsBeforeLeaderSearch is the number of requests without a lease after which the client looks for
+	// the leader again.
 	requestsBeforeLeaderSearch = 3
 )
 
--- a/internal/cluster/consensus/codec_test.go
+++ b/internal/cluster/consensus/codec_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// Whatever a node sends is read where it arrives, of every kind.
+// A payload of every kind is decoded to the value that was encoded.
 func TestEveryMessageKindRoundTrips(t *testing.T) {
 	to := uint64(3)
 	kinds := map[MessageKind]bool{}
--- a/internal/cluster/consensus/golden_test.go
+++ b/internal/cluster/consensus/golden_test.go
@@ -16,7 +16,7 @@
 
 var updateGolden = flag.Bool("update-golden", false, "write testdata/golden anew from this program")
 
-// golden compares bytes with those of a committed file and returns the latter.
+// golden compares bytes with those of a committed file and returns the file's content.
 func golden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -30,7 +30,7 @@
 	return want
 }
 
-// goldenRules hold a value of each type.
+// goldenRules returns rules with values of each type.
 func goldenRules() Rules {
 	return Rules{"tries": 3.0, "class.browse.bound_ms": 250.5, "class.browse.repeat": false, "host.s-1.x.closed": true, "database.orders.group": 7.0}
 }
@@ -52,7 +52,7 @@
 	return &jobs.Operation{Number: 3, Name: "copy", Token: 9, Data: json.RawMessage(`{"from":1}`), Approval: goldenApproval("go")}
 }
 
-// goldenJobEntry has no field of its zero value.
+// goldenJobEntry returns an entry in which no field has its zero value.
 func goldenJobEntry() *jobs.Entry {
 	return &jobs.Entry{
 		Type: jobs.EntryAnnounce, Job: "move-orders", Token: 9, Holder: "pooler-b", Incarnation: 1 << 63, JobKind: "move", Spec: json.RawMessage(`{"to":2}`),
@@ -92,8 +92,8 @@
 	}
 }
 
-// Entries of the log are stored by voters and sent between them: what an earlier program wrote is read, and
-// written alike.
+// Voters store log entries and send them to each other. Entries that an earlier program version wrote are
+// decoded, and encoded to the same bytes.
 func TestGoldenLogEntries(t *testing.T) {
 	for name, c := range map[string]command{
 		"propose":       proposeVersion{ID: 1<<63 + 3, Version: goldenVersion(4)},
@@ -115,7 +115,7 @@
 	}
 }
 
-// A snapshot holds the state that the log amounts to.
+// A snapshot restores the replicated state, which is encoded to the same bytes.
 func TestGoldenSnapshot(t *testing.T) {
 	data, err := json.Marshal(goldenState())
 	require.NoError(t, err)
@@ -134,7 +134,8 @@
 	golden(t, "snapshot-first.json", first)
 }
 
-// The first snapshot of a voter, and the identities in it, are alike for all voters of a cluster.
+// The initial snapshot and the identities in it depend only on the names of the voters, so that all voters of
+// a cluster start with the same ones.
 func TestGoldenFirstState(t *testing.T) {
 	first := InitialState("n2", []string{"n3", "n1", "n2"})
 	text, err := json.Marshal(map[string]any{
@@ -168,7 +169,7 @@
 	}
 }
 
-// goldenPayloads are payloads of every kind, with all that their kind has.
+// goldenPayloads returns payloads of every kind, with all fields of the kind set, and some with few fields set.
 func goldenPayloads() map[string]Payload {
 	const nonce, id, epoch = 1<<63 + 1, 1<<63 + 2, 1<<63 + 4
 	list := []jobs.Job{*goldenJob("move-orders", "go")}
@@ -177,7 +178,7 @@
 		"hello": VoterHello{ID: id},
 		"renew": LeaseRequest{Nonce: nonce, NewestVersion: 4, Format: 1, Report: goldenReport(), JobsEpoch: epoch, JobsRevision: 12},
 		"grant": LeaseGrant{Nonce: nonce, DurationMillis: 200.5, Versions: goldenVersions(), JobsEpoch: epoch, JobsRevision: 12, Jobs: list},
-		// An empty one: there is no job, and no version.
+		// A grant without jobs and versions.
 		"grant-empty":           LeaseGrant{Nonce: nonce, DurationMillis: 200.5},
 		"propose-version":       VersionProposal{ID: id, Version: goldenVersion(0)},
 		"propose-entry":         JobProposal{ID: id, Entry: goldenJobEntry()},
@@ -193,7 +194,7 @@
 	}
 }
 
-// What an earlier program sends is read, and the same is sent.
+// Messages of an earlier program version are decoded, and encoded to the same bytes.
 func TestGoldenMessages(t *testing.T) {
 	kinds := map[MessageKind]bool{}
 	for name, payload := range goldenPayloads() {
--- a/internal/cluster/consensus/leader.go
+++ b/internal/cluster/consensus/leader.go
@@ -144,8 +144,8 @@
 		return
 	}
 	// else the proposer gets the result when it repeats the proposal
-	if awaiting := n.leadership.proposers; len(awaiting) < maxAwaitedResults {
-		awaiting[id] = from
+	if proposers := n.leadership.proposers; len(proposers) < maxAwaitedResults {
+		proposers[id] = from
 	}
 }
 
--- a/internal/cluster/consensus/node_test.go
+++ b/internal/cluster/consensus/node_test.go
@@ -8,15 +8,15 @@
 	"ashstand/internal/cluster/jobs"
 )
 
-// testCluster is a cluster of three voters and one other pooler, whose messages all arrive at once.
+// testCluster is a cluster of three voters and one other pooler. Messages arrive without delay.
 type testCluster struct {
-	t       *testing.T
-	names   []string
-	nodes   map[string]*Node
-	now     float64
-	held    []Message // for nodes that are stopped
-	stopped map[string]bool
-	results map[uint64]ProposalResult
+	t           *testing.T
+	names       []string
+	nodes       map[string]*Node
+	now         float64
+	undelivered []Message // messages to stopped nodes
+	stopped     map[string]bool
+	results     map[uint64]ProposalResult
 }
 
 func newTestCluster(t *testing.T) *testCluster {
@@ -38,16 +38,16 @@
 	return c
 }
 
-func (c *testCluster) deliver(mail []Message) {
-	for len(mail) > 0 {
-		m := mail[0]
-		mail = mail[1:]
+func (c *testCluster) deliver(messages []Message) {
+	for len(messages) > 0 {
+		m := messages[0]
+		messages = messages[1:]
 		if c.stopped[m.To] {
-			c.held = append(c.held, m)
+			c.undelivered = append(c.undelivered, m)
 		} else if n := c.nodes[m.To]; n != nil {
 			n.Receive(c.now, m)
 			out := n.Output()
-			mail = append(mail, out.Messages...)
+			messages = append(messages, out.Messages...)
 			for _, a := range out.Results {
 				c.results[a.ID] = a
 			}
@@ -89,19 +89,19 @@
 			return name
 		}
 	}
-	c.t.Fatal("nobody leads")
+	c.t.Fatal("no leader")
 	return ""
 }
 
-// job is the job "w" as the leader has it.
+// job returns the job "w" from the leader's replicated state.
 func (c *testCluster) job() jobs.Job {
 	return *c.nodes[c.leader()].replica.state.Jobs.Jobs["w"]
 }
 
-// After a leader ends for good, the other poolers find the next one and have leases again.
+// After a leader has ended permanently, the other poolers find the next leader and get leases again.
 func TestDepartedLeaderIsReplaced(t *testing.T) {
 	c := newTestCluster(t)
-	c.run(5000) // far more lease requests than a node remembers
+	c.run(5000) // long enough for more than maxNonces lease requests per node
 	c.nodes[c.leader()] = nil
 	c.run(3000)
 	running := 0
@@ -114,7 +114,8 @@
 	require.Equal(t, 3, running)
 }
 
-// A lease holder that is stopped, and goes on after another one was assigned, is rejected and learns why.
+// A lease holder that is suspended, and resumes after the job was assigned to another pooler, is rejected
+// with the reason.
 func TestStaleLeaseHolderIsRejected(t *testing.T) {
 	c := newTestCluster(t)
 	c.run(500)
@@ -122,7 +123,7 @@
 	c.run(300)
 	first := c.job()
 	require.NotEmpty(t, first.Holder)
-	for name, n := range c.nodes { // all know the holder
+	for name, n := range c.nodes { // every node knows the holder
 		require.Equal(t, first.Holder, n.Lease().Jobs["w"].Holder, name)
 	}
 	operation := &jobs.Operation{Number: 1, Name: "d"}
@@ -133,17 +134,17 @@
 	second := c.job()
 	require.NotEqual(t, first.Holder, second.Holder)
 	require.Greater(t, second.Token, first.Token)
-	require.Equal(t, operation.Number, second.Operation.Number, "the next holder finds the operation that is in doubt")
+	require.Equal(t, operation.Number, second.Operation.Number, "the next holder gets the operation whose outcome is unknown")
 	require.Less(t, 3000.0, c.now-stoppedAt+1)
 	c.stopped[first.Holder] = false
-	late := c.held
-	c.held = nil
+	late := c.undelivered
+	c.undelivered = nil
 	c.deliver(late)
 	result := c.propose(first.Holder, 3, jobs.Entry{Type: jobs.EntryConfirm, Job: "w", Token: first.Token, Operation: operation}, nil)
 	require.False(t, result.Accepted)
 	require.Equal(t, jobs.RejectStaleToken, result.Rejected.Reason)
-	// Nor can it change rules under its stale token. The present holder can, and its changes are made to the
-	// active rules.
+	// A stale token does not allow a change of rules, either. The current holder can change rules; its
+	// changes are applied to the active rules.
 	result = c.propose(first.Holder, 4, jobs.Entry{Type: jobs.EntryAuthorize, Job: "w", Token: first.Token}, Rules{"tries": 2.0})
 	require.False(t, result.Accepted)
 	for _, n := range c.nodes {
@@ -157,10 +158,10 @@
 	effective := c.nodes["n4"].Effective(c.now)
 	require.Equal(t, []int{3}, effective.Versions)
 	require.Equal(t, Rules{"tries": 2.0}, effective.Rules)
-	require.Equal(t, second.Token, c.nodes["n4"].versions.HighestToken, "the highest token is kept")
+	require.Equal(t, second.Token, c.nodes["n4"].versions.HighestToken, "the highest token is remembered")
 }
 
-// In a cluster that is bootstrapped anew, fencing tokens rise above those that a pooler remembers of the
+// In a cluster that is bootstrapped again, fencing tokens start above those that a pooler remembers from the
 // earlier cluster.
 func TestTokensRiseAfterClusterIsBootstrappedAnew(t *testing.T) {
 	c := newTestCluster(t)
@@ -171,7 +172,7 @@
 	require.Greater(t, c.job().Token, jobs.FencingToken(40))
 }
 
-// The time from a holder's end until another one may act is within the stated bound.
+// The time from a holder's end until another pooler may act is below TakeoverBoundMillis.
 func TestTakeoverWithinBound(t *testing.T) {
 	c := newTestCluster(t)
 	c.run(500)
--- a/internal/cluster/consensus/persist.go
+++ b/internal/cluster/consensus/persist.go
@@ -11,8 +11,8 @@
 
 // PersistentState is the state that a node must not lose. The node's caller saves and syncs it as a whole
 // before it sends any message of the same Output and before it acts on anything that depends on the state. A
-// copy must never be passed to New: two processes that vote under one identity, or a process that lost its
-// vote, can revert committed entries. A caller without the original passes nil to New.
+// copy must never be passed to New: two processes that vote under one identity, or a process that lost the
+// record of its vote, can revert committed entries. A caller without the original passes nil to New.
 type PersistentState struct {
 	ID        uint64 // the voter's identity; 0: the node never voted
 	HardState *pb.HardState
--- a/internal/cluster/consensus/rules_test.go
+++ b/internal/cluster/consensus/rules_test.go
@@ -27,17 +27,17 @@
 	require.ErrorContains(t, err, "bytes")
 }
 
-// drawRules draws rules of few names, so that two of them have some in common.
+// drawRules draws rules from a few names, so that two results usually share some names.
 func drawRules(t *rapid.T, label string) Rules {
 	r := Rules{}
 	for _, k := range []string{"class.a.repeat", "class.a.bound_ms", "host.h.closed", "cold.ramp_ms", "database.d.group", "database.d.paused", "tries"} {
 		switch rapid.IntRange(0, 2).Draw(t, label+k) {
 		case 1:
-			r[k] = map[ordering]any{falseIsStricter: true, trueIsStricter: true}[mustFind(k).order]
+			r[k] = map[ordering]any{falseIsStricter: true, trueIsStricter: true}[mustFindRuleKey(k).order]
 		case 2:
-			r[k] = map[ordering]any{falseIsStricter: false, trueIsStricter: false}[mustFind(k).order]
+			r[k] = map[ordering]any{falseIsStricter: false, trueIsStricter: false}[mustFindRuleKey(k).order]
 		}
-		if r[k] == nil && !mustFind(k).order.isBool() && rapid.Bool().Draw(t, label+k+"set") {
+		if r[k] == nil && !mustFindRuleKey(k).order.isBool() && rapid.Bool().Draw(t, label+k+"set") {
 			r[k] = float64(rapid.IntRange(1, 3).Draw(t, label+k+"value"))
 		} else if r[k] == nil {
 			delete(r, k)
@@ -46,7 +46,7 @@
 	return r
 }
 
-func mustFind(name string) ruleKey {
+func mustFindRuleKey(name string) ruleKey {
 	k, ok := findRuleKey(name)
 	if !ok {
 		panic(name)
@@ -54,8 +54,8 @@
 	return k
 }
 
-// looserRule names the first rule by which a allows what b forbids. Values without an order allow something
-// else wherever they differ; a fenced one allows nothing.
+// looserRule returns the first rule whose value in a permits something that b forbids. Two different values
+// of an unordered rule each permit something that the other forbids; a fenced one permits nothing.
 func looserRule(a, b Rules) (name string, found bool) {
 	for _, from := range []Rules{a, b} {
 		for _, name := range slices.Sorted(maps.Keys(from)) {
@@ -89,11 +89,11 @@
 		}
 		if _, looser := looserRule(a, b); !looser {
 			if _, back := looserRule(b, a); !back {
-				require.Equal(t, a, b, "neither is looser: they are the same")
+				require.Equal(t, a, b, "neither is looser, so both are equal")
 			}
 		}
 	})
 	m := Strictest(Rules{"database.d.group": 1.0}, Rules{})
-	require.True(t, m.Fenced("database.d.group"), "a key that one version lacks is no agreement on it")
+	require.True(t, m.Fenced("database.d.group"), "versions differ on a rule that only one of them has")
 	require.Equal(t, "map[database.d.group:{}]", fmt.Sprint(m))
 }
--- a/internal/cluster/consensus/runner/golden_test.go
+++ b/internal/cluster/consensus/runner/golden_test.go
@@ -22,7 +22,7 @@
 
 var updateGolden = flag.Bool("update-golden", false, "write testdata/golden anew from this program")
 
-// golden compares bytes with those of a committed file and returns the latter.
+// golden compares bytes with those of a committed file and returns the file's content.
 func golden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -58,7 +58,7 @@
 	return &pb.Snapshot{Data: []byte(`{"last":5}`), Metadata: &pb.SnapshotMetadata{Index: &index, Term: &term, ConfState: &pb.ConfState{Voters: []uint64{3, 5}, Learners: []uint64{7}}}}
 }
 
-// fixedIdentityFS gives all files one identity, so that a state file has the same content each time.
+// fixedIdentityFS reports the same identity for all files, so that the content of a state file is reproducible.
 type fixedIdentityFS struct{ vfs.OS }
 
 type fixedFile struct{ vfs.File }
@@ -77,8 +77,7 @@
 	return b, goldenIdentity, err
 }
 
-// A voter's directory, with a snapshot and the log after it, is read and written again as an earlier program
-// wrote it.
+// A state file that an earlier program version wrote is loaded, and written again with the same bytes.
 func TestGoldenStorage(t *testing.T) {
 	one := uint64(1)
 	vote, commit, term := uint64(5), uint64(41), uint64(4)
@@ -97,7 +96,7 @@
 		stored := golden(t, filepath.Join("folders", name, "agreed.json"), b)
 		f.Close()
 
-		// Read as another process does: it writes once more what it found.
+		// A new process rewrites the state file when it loads it.
 		require.NoError(t, os.WriteFile(filepath.Join(path, "agreed.json"), stored, 0o600))
 		f, err = OpenStorage(fixedIdentityFS{}, path)
 		require.NoError(t, err)
@@ -121,15 +120,15 @@
 	}
 }
 
-// goldenCluster runs nodes by one clock and notes all that they send and save.
+// goldenCluster runs nodes by one simulated clock and records everything that they send and save.
 type goldenCluster struct {
-	t     *testing.T
-	now   float64
-	names []string
-	nodes map[string]*consensus.Node
-	saved map[string]*consensus.PersistentState
-	cut   map[string]bool
-	notes bytes.Buffer
+	t           *testing.T
+	now         float64
+	names       []string
+	nodes       map[string]*consensus.Node
+	saved       map[string]*consensus.PersistentState
+	partitioned map[string]bool
+	transcript  bytes.Buffer
 }
 
 func (c *goldenCluster) start(name string, instance uint64) {
@@ -149,32 +148,32 @@
 	return h.Sum64()
 }
 
-// take notes what a node wants done and returns its messages.
-func (c *goldenCluster) take(name string) []consensus.Message {
+// recordOutput records a node's Output and returns the messages in it.
+func (c *goldenCluster) recordOutput(name string) []consensus.Message {
 	out := c.nodes[name].Output()
 	if out.Save != nil {
 		c.saved[name] = out.Save
 		b, err := encodeState(out.Save, goldenIdentity)
 		require.NoError(c.t, err)
-		fmt.Fprintf(&c.notes, "%.0f %s saves %d %016x\n", c.now, name, len(b), digest(b))
+		fmt.Fprintf(&c.transcript, "%.0f %s saves %d %016x\n", c.now, name, len(b), digest(b))
 	}
 	for _, m := range out.Messages {
 		b, err := consensus.EncodeMessage(m)
 		require.NoError(c.t, err)
-		fmt.Fprintf(&c.notes, "%.0f %s>%s %d %016x\n", c.now, m.From, m.To, len(b), digest(b))
+		fmt.Fprintf(&c.transcript, "%.0f %s>%s %d %016x\n", c.now, m.From, m.To, len(b), digest(b))
 	}
 	for _, a := range out.Results {
-		fmt.Fprintf(&c.notes, "%.0f %s has the answer to %d: %v, version %d, %q\n", c.now, name, a.ID, a.Accepted, a.VersionNumber, a.Reason)
+		fmt.Fprintf(&c.transcript, "%.0f %s has the answer to %d: %v, version %d, %q\n", c.now, name, a.ID, a.Accepted, a.VersionNumber, a.Reason)
 	}
 	return out.Messages
 }
 
-func (c *goldenCluster) deliver(mail []consensus.Message) {
-	for ; len(mail) > 0; mail = mail[1:] {
-		m := mail[0]
-		if n := c.nodes[m.To]; n != nil && !c.cut[m.From] && !c.cut[m.To] {
+func (c *goldenCluster) deliver(messages []consensus.Message) {
+	for ; len(messages) > 0; messages = messages[1:] {
+		m := messages[0]
+		if n := c.nodes[m.To]; n != nil && !c.partitioned[m.From] && !c.partitioned[m.To] {
 			n.Receive(c.now, m)
-			mail = append(mail, c.take(m.To)...)
+			messages = append(messages, c.recordOutput(m.To)...)
 		}
 	}
 }
@@ -185,7 +184,7 @@
 		for _, name := range c.names {
 			if n := c.nodes[name]; n != nil {
 				n.Tick(c.now)
-				mail = append(mail, c.take(name)...)
+				mail = append(mail, c.recordOutput(name)...)
 			}
 		}
 		c.deliver(mail)
@@ -193,33 +192,33 @@
 			if n := c.nodes[name]; n != nil && int(c.now)%50 == 0 {
 				b, err := json.Marshal(n.Effective(c.now))
 				require.NoError(c.t, err)
-				fmt.Fprintf(&c.notes, "%.0f %s leads %v acts on %s\n", c.now, name, n.IsLeader(), b)
+				fmt.Fprintf(&c.transcript, "%.0f %s leads %v acts on %s\n", c.now, name, n.IsLeader(), b)
 			}
 		}
 	}
 }
 
 func (c *goldenCluster) leader() string {
-	i := slices.IndexFunc(c.names, func(name string) bool { n := c.nodes[name]; return n != nil && !c.cut[name] && n.IsLeader() })
+	i := slices.IndexFunc(c.names, func(name string) bool { n := c.nodes[name]; return n != nil && !c.partitioned[name] && n.IsLeader() })
 	require.GreaterOrEqual(c.t, i, 0)
 	return c.names[i]
 }
 
 func (c *goldenCluster) propose(at string, id uint64, rules consensus.Rules) {
 	require.NoError(c.t, c.nodes[at].Propose(c.now, id, rules))
-	c.deliver(c.take(at))
+	c.deliver(c.recordOutput(at))
 }
 
 func (c *goldenCluster) proposeEntry(at string, id uint64, e jobs.Entry, change consensus.Rules) {
 	require.NoError(c.t, c.nodes[at].ProposeJobEntry(c.now, id, e, change))
-	c.deliver(c.take(at))
+	c.deliver(c.recordOutput(at))
 }
 
-// With one seed, nodes send and save the same bytes in the same order as an earlier program did: through an
-// election, versions, a job and its owner, a change of rules by that, a leader that is cut off, and a voter
-// that lost its folder.
+// With the same seed, nodes send and save the same bytes in the same order as an earlier program version did.
+// The run covers an election, versions, a job and its lease holder, a change of rules by that holder, a
+// leader that is partitioned from the others, and a voter that lost its directory.
 func TestGoldenConversation(t *testing.T) {
-	c := &goldenCluster{t: t, names: []string{"n1", "n2", "n3", "n4"}, nodes: map[string]*consensus.Node{}, saved: map[string]*consensus.PersistentState{}, cut: map[string]bool{}}
+	c := &goldenCluster{t: t, names: []string{"n1", "n2", "n3", "n4"}, nodes: map[string]*consensus.Node{}, saved: map[string]*consensus.PersistentState{}, partitioned: map[string]bool{}}
 	for i, name := range c.names {
 		if i < 3 {
 			c.saved[name] = consensus.InitialState(name, c.names[:3])
@@ -228,10 +227,10 @@
 	}
 	c.run(400)
 	c.propose("n4", 11, consensus.Rules{"tries": 3.0, "database.d.group": 1.0})
-	c.propose("n1", 12, consensus.Rules{"tries": 4.0}) // before the first is in force
+	c.propose("n1", 12, consensus.Rules{"tries": 4.0}) // while the first is pending
 	c.run(600)
-	c.propose("n4", 11, consensus.Rules{"tries": 3.0, "database.d.group": 1.0}) // again: counted once
-	c.propose("n2", 13, consensus.Rules{"host.h.closed": true})                 // beyond the limits
+	c.propose("n4", 11, consensus.Rules{"tries": 3.0, "database.d.group": 1.0}) // repeated: takes effect once
+	c.propose("n2", 13, consensus.Rules{"host.h.closed": true})                 // not in the limits
 	c.proposeEntry("n4", 21, jobs.Entry{Type: jobs.EntryCreate, Job: "w", JobKind: "k", RequiredGroups: []uint64{1}}, nil)
 	c.run(900)
 	job := c.nodes[c.leader()].Lease().Jobs["w"]
@@ -242,10 +241,10 @@
 	c.proposeEntry(job.Holder, 24, jobs.Entry{Type: jobs.EntryAuthorize, Job: "w", Token: job.Token + 1}, consensus.Rules{"tries": 1.0})
 	c.run(1300)
 	old := c.leader()
-	c.cut[old] = true
+	c.partitioned[old] = true
 	c.run(1900)
 	require.NotEqual(t, old, c.leader())
-	c.cut[old] = false
+	c.partitioned[old] = false
 	c.run(2200)
 	lost := c.names[slices.IndexFunc(c.names, func(name string) bool { return name != c.leader() })]
 	c.saved[lost] = nil
@@ -253,9 +252,9 @@
 	c.run(3000)
 	require.Len(t, c.nodes[c.leader()].Voters(), 3)
 	require.NotEmpty(t, c.nodes[c.leader()].Voters()[c.saved[lost].ID])
-	for i := range 300 { // more than is kept before a snapshot
+	for i := range 300 { // more entries than are kept before a snapshot
 		c.proposeEntry("n4", uint64(1000+i), jobs.Entry{Type: jobs.EntryApprove, Job: "w", Approval: &jobs.Approval{Action: "go", Step: 99}}, nil)
 	}
 	c.run(3300)
-	golden(t, "conversation.txt", c.notes.Bytes())
+	golden(t, "conversation.txt", c.transcript.Bytes())
 }
--- a/internal/cluster/consensus/runner/loop.go
+++ b/internal/cluster/consensus/runner/loop.go
@@ -25,11 +25,11 @@
 	runner      *Runner
 	node        *consensus.Node // nil: suspended, since its state could not be persisted
 	suspendedAt time.Time
-	waiting     map[uint64]chan consensus.ProposalResult // receive the results of proposals, by ID
+	waiting     map[uint64]chan consensus.ProposalResult // receivers of results, by the proposal's ID
 
 	notifiedKey    *consensus.EffectiveKey // key of the rules at the last call of OnChange; nil: none yet
 	notifiedExpiry float64                 // expiry of the lease at the last call of OnLease
-	// earliest time of the next report of rules that are used without a lease
+	// nextOverrunReport is the earliest time of the next report of rules that are used without a lease
 	nextOverrunReport float64
 }
 
--- a/internal/cluster/consensus/runner/runner.go
+++ b/internal/cluster/consensus/runner/runner.go
@@ -55,7 +55,7 @@
 	stopping chan struct{}    // closed by Stop
 	running  sync.WaitGroup
 
-	// published by the loop once the state that it depends on is persisted
+	// lease is published by the loop once the state that it depends on is persisted
 	lease             atomic.Pointer[consensus.Lease]
 	messagesLost      atomic.Int64
 	messagesMalformed atomic.Int64
--- a/internal/cluster/consensus/runner/runner_test.go
+++ b/internal/cluster/consensus/runner/runner_test.go
@@ -42,13 +42,13 @@
 	require.NoError(t, f.Save(d))
 	require.NoError(t, f.Save(d))
 	for _, put := range []func() error{
-		func() error { return os.WriteFile(name, b, 0o600) }, // written over the file that is there
+		func() error { return os.WriteFile(name, b, 0o600) }, // overwrites the existing file
 		func() error { return errors.Join(os.WriteFile(name+".copy", b, 0o600), os.Rename(name+".copy", name)) },
 	} {
 		require.NoError(t, put())
 		d, err = f.Load()
-		require.ErrorIs(t, err, ErrCopy, "put back from a backup")
-		require.Equal(t, []any{uint64(0), 3}, []any{d.ID, d.Versions.Active.Number}, "what was acted on stays known, who it was does not")
+		require.ErrorIs(t, err, ErrCopy, "restored from a backup")
+		require.Equal(t, []any{uint64(0), 3}, []any{d.ID, d.Versions.Active.Number}, "the versions are kept, the identity is not")
 	}
 
 	for cut := range len(b) {
@@ -68,8 +68,8 @@
 	f.Close()
 }
 
-// memoryDir is a directory in memory where there is such a place, so that no test depends on the speed of a
-// disk.
+// memoryDir returns a temporary directory, in memory if /dev/shm exists, so that tests don't depend on the
+// speed of a disk.
 func memoryDir(t *testing.T) string {
 	path, err := os.MkdirTemp("/dev/shm", "ashstand-test-")
 	if err != nil {
@@ -79,18 +79,18 @@
 	return path
 }
 
-// testNetwork carries messages between runners of one test.
+// testNetwork delivers messages between the runners of one test.
 type testNetwork struct {
-	mu   sync.Mutex
-	of   map[string]*Runner
-	down map[string]bool
+	mu          sync.Mutex
+	runners     map[string]*Runner
+	partitioned map[string]bool
 }
 
 func (n *testNetwork) send(from string) func(string, []byte) {
 	return func(to string, b []byte) {
 		n.mu.Lock()
-		r := n.of[to]
-		if n.down[from] || n.down[to] {
+		r := n.runners[to]
+		if n.partitioned[from] || n.partitioned[to] {
 			r = nil
 		}
 		n.mu.Unlock()
@@ -102,23 +102,23 @@
 
 func (n *testNetwork) cut(name string, down bool) {
 	n.mu.Lock()
-	n.down[name] = down
+	n.partitioned[name] = down
 	n.mu.Unlock()
 }
 
 func TestRunnersReachConsensus(t *testing.T) {
 	voters := []string{"n1", "n2", "n3"}
-	w := &testNetwork{of: map[string]*Runner{}, down: map[string]bool{}}
+	network := &testNetwork{runners: map[string]*Runner{}, partitioned: map[string]bool{}}
 	directories := map[string]string{}
 	start := func(name string, instance uint64) {
-		r, err := Start(Options{Directory: directories[name], Clock: clock.System(), Send: w.send(name), Config: consensus.Config{
+		r, err := Start(Options{Directory: directories[name], Clock: clock.System(), Send: network.send(name), Config: consensus.Config{
 			Name: name, Incarnation: instance, Voters: voters,
 			LeaseMillis: 600, ClockDrift: 0.05, RenewIntervalMillis: 60, ElectionTimeoutMillis: 150, Format: 1, Limits: consensus.Rules{"tries": 1.0}, Seed: instance,
 		}})
 		require.NoError(t, err)
-		w.mu.Lock()
-		w.of[name] = r
-		w.mu.Unlock()
+		network.mu.Lock()
+		network.runners[name] = r
+		network.mu.Unlock()
 	}
 	for i, name := range []string{"n1", "n2", "n3", "n4"} {
 		directories[name] = filepath.Join(memoryDir(t), name)
@@ -128,15 +128,15 @@
 		start(name, uint64(i+1))
 	}
 	defer func() {
-		for _, r := range w.of {
+		for _, r := range network.runners {
 			r.Stop()
 		}
 	}()
-	inForce := func(v int, names ...string) {
+	requireActive := func(v int, names ...string) {
 		t.Helper()
 		for _, name := range names {
 			require.Eventually(t, func() bool {
-				a := w.of[name].Effective()
+				a := network.runners[name].Effective()
 				return !a.LeaseExpired && len(a.Versions) == 1 && a.Versions[0] == v
 			}, 10*time.Second, 5*time.Millisecond, "%s: version %d", name, v)
 		}
@@ -144,55 +144,55 @@
 	propose := func(at string, tries float64) (int, error) {
 		ctx, cancel := context.WithTimeout(context.Background(), 8*time.Second)
 		defer cancel()
-		return w.of[at].Propose(ctx, consensus.Rules{"tries": tries})
+		return network.runners[at].Propose(ctx, consensus.Rules{"tries": tries})
 	}
-	inForce(0, "n1", "n2", "n3", "n4")
+	requireActive(0, "n1", "n2", "n3", "n4")
 	v, err := propose("n4", 5)
 	require.NoError(t, err)
 	require.Equal(t, 1, v)
-	inForce(1, "n1", "n2", "n3", "n4")
-	require.Equal(t, 5.0, w.of["n2"].Effective().Rules["tries"])
-	_, err = w.of["n1"].Propose(context.Background(), consensus.Rules{"tries": 0.0})
+	requireActive(1, "n1", "n2", "n3", "n4")
+	require.Equal(t, 5.0, network.runners["n2"].Effective().Rules["tries"])
+	_, err = network.runners["n1"].Propose(context.Background(), consensus.Rules{"tries": 0.0})
 	require.ErrorContains(t, err, "allowed is 1 to 16")
-	_, err = w.of["n1"].Propose(context.Background(), consensus.Rules{"class.a.bound_ms": 5.0})
-	require.ErrorContains(t, err, "stands in none", "nobody without a lease would keep to it")
+	_, err = network.runners["n1"].Propose(context.Background(), consensus.Rules{"class.a.bound_ms": 5.0})
+	require.ErrorContains(t, err, "stands in none", "a pooler without a lease would violate it")
 
-	// A pooler that is cut off goes by its limits once its lease has expired, and the others go on without it.
-	w.cut("n4", true)
-	require.Eventually(t, func() bool { a := w.of["n4"].Effective(); return a.LeaseExpired && a.Rules["tries"] == 1.0 }, 5*time.Second, 5*time.Millisecond)
+	// A partitioned pooler acts on its limits once its lease has expired, and the others continue without it.
+	network.cut("n4", true)
+	require.Eventually(t, func() bool { a := network.runners["n4"].Effective(); return a.LeaseExpired && a.Rules["tries"] == 1.0 }, 5*time.Second, 5*time.Millisecond)
 	v, err = propose("n1", 7)
 	require.NoError(t, err)
-	inForce(v, "n1", "n2", "n3")
-	w.cut("n4", false)
-	inForce(v, "n4")
+	requireActive(v, "n1", "n2", "n3")
+	network.cut("n4", false)
+	requireActive(v, "n4")
 
-	// A voter comes back without its state: it is admitted under another identity.
-	w.of["n3"].Stop()
+	// A voter that restarts without its state is admitted under a new identity.
+	network.runners["n3"].Stop()
 	require.NoError(t, os.RemoveAll(directories["n3"]))
 	start("n3", 30)
-	inForce(v, "n3")
+	requireActive(v, "n3")
 	require.Eventually(t, func() bool {
-		x := w.of["n1"].View()
+		x := network.runners["n1"].View()
 		return len(x.Voters) == 3 && x.Voters[consensus.InitialState("n3", voters).ID] == ""
-	}, 10*time.Second, 10*time.Millisecond, "its new identity has the old one's place")
+	}, 10*time.Second, 10*time.Millisecond, "the new identity replaces the old one")
 
-	// Without a majority nothing can be changed, and the last voter goes by its limits.
-	w.cut("n1", true)
-	w.cut("n2", true)
-	require.Eventually(t, func() bool { return w.of["n3"].Effective().LeaseExpired }, 10*time.Second, 5*time.Millisecond)
+	// Without a majority no version can be committed, and the remaining voter acts on its limits.
+	network.cut("n1", true)
+	network.cut("n2", true)
+	require.Eventually(t, func() bool { return network.runners["n3"].Effective().LeaseExpired }, 10*time.Second, 5*time.Millisecond)
 	ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 	defer cancel()
-	_, err = w.of["n3"].Propose(ctx, consensus.Rules{"tries": 2.0})
+	_, err = network.runners["n3"].Propose(ctx, consensus.Rules{"tries": 2.0})
 	var none *consensus.NoLeaderError
 	require.ErrorAs(t, err, &none)
 	require.NotEmpty(t, none.Advice())
-	w.cut("n1", false)
-	w.cut("n2", false)
-	require.Eventually(t, func() bool { return !w.of["n3"].Effective().LeaseExpired }, 10*time.Second, 5*time.Millisecond)
+	network.cut("n1", false)
+	network.cut("n2", false)
+	require.Eventually(t, func() bool { return !network.runners["n3"].Effective().LeaseExpired }, 10*time.Second, 5*time.Millisecond)
 }
 
-// A directory that can't be written is like a process that ended: nothing is sent or acted on that is not
-// persisted.
+// A node whose directory can't be written is suspended, as if its process had ended: it neither sends
+// messages nor acts on state that is not persisted.
 func TestFullDisk(t *testing.T) {
 	path := filepath.Join(memoryDir(t), "a")
 	require.NoError(t, Bootstrap(vfs.OS{}, path, "n1", []string{"n1"}))
@@ -203,7 +203,7 @@
 	require.NoError(t, err)
 	defer r.Stop()
 	require.Eventually(t, func() bool { return !r.Effective().LeaseExpired }, 5*time.Second, 5*time.Millisecond)
-	require.NoError(t, os.MkdirAll(filepath.Join(path, stateFileName+".new", "x"), 0o700)) // no file can be made there
+	require.NoError(t, os.MkdirAll(filepath.Join(path, stateFileName+".new", "x"), 0o700)) // a directory of this name prevents the creation of the file
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
 	_, err = r.Propose(ctx, consensus.Rules{"tries": 2.0})
@@ -214,7 +214,7 @@
 	require.Eventually(t, func() bool { return !r.Effective().LeaseExpired }, 10*time.Second, 10*time.Millisecond)
 }
 
-// unsyncedFS fails to sync while fails is set: what was written can be read, but may be gone later.
+// unsyncedFS fails to sync while fails is set. Written data can be read then, but may be lost later.
 type unsyncedFS struct {
 	vfs.OS
 	fails atomic.Bool
@@ -237,49 +237,50 @@
 	return f.File.Sync()
 }
 
-// The process before may have failed to sync its last save: what is read back is written again, or not used.
+// The previous process may have failed to sync its last save, so loaded state is written again before it is
+// used. If that fails, the state is not used.
 func TestLoadedStateIsRewrittenOrNotUsed(t *testing.T) {
-	on, path := &unsyncedFS{}, filepath.Join(memoryDir(t), "a")
-	require.NoError(t, Bootstrap(on, path, "n1", []string{"n1"}))
+	fsys, path := &unsyncedFS{}, filepath.Join(memoryDir(t), "a")
+	require.NoError(t, Bootstrap(fsys, path, "n1", []string{"n1"}))
 	identity := func() string {
-		_, is, err := on.ReadFile(filepath.Join(path, stateFileName), maxStateBytes)
+		_, identity, err := fsys.ReadFile(filepath.Join(path, stateFileName), maxStateBytes)
 		require.NoError(t, err)
-		return is
+		return identity
 	}
-	f, err := OpenStorage(on, path)
+	f, err := OpenStorage(fsys, path)
 	require.NoError(t, err)
 	before := identity()
-	on.fails.Store(true)
+	fsys.fails.Store(true)
 	_, err = f.Load()
 	require.ErrorIs(t, err, ErrNotDurable)
-	on.fails.Store(false)
+	fsys.fails.Store(false)
 	d, err := f.Load()
 	require.NoError(t, err)
 	after := identity()
-	require.NotEqual(t, before, after, "another file")
+	require.NotEqual(t, before, after, "the file was replaced")
 	_, err = f.Load()
 	require.NoError(t, err)
-	require.Equal(t, after, identity(), "this process has written it")
-	on.fails.Store(true)
+	require.Equal(t, after, identity(), "this process wrote the file, so it is not rewritten")
+	fsys.fails.Store(true)
 	require.Error(t, f.Save(d))
 	_, err = f.Load()
-	require.ErrorIs(t, err, ErrNotDurable, "a save has failed since")
+	require.ErrorIs(t, err, ErrNotDurable, "a later save failed")
 	f.Close()
 
-	r, err := Start(Options{Directory: path, FS: on, Clock: clock.System(), Send: func(string, []byte) {}, Config: consensus.Config{
+	r, err := Start(Options{Directory: path, FS: fsys, Clock: clock.System(), Send: func(string, []byte) {}, Config: consensus.Config{
 		Name: "n1", Voters: []string{"n1"}, LeaseMillis: 300,
 		RenewIntervalMillis: 30, ElectionTimeoutMillis: 60, Format: 1, Limits: consensus.Rules{"tries": 1.0},
 	}})
-	require.NoError(t, err, "the pooler starts without the voter's part")
+	require.NoError(t, err, "the pooler starts with its voter suspended")
 	defer r.Stop()
 	v := r.View()
 	require.Equal(t, []any{false, true, false, true}, []any{v.IsLeader, v.SavesFailed > 0, r.IsStorageHealthy(), r.Effective().LeaseExpired})
-	on.fails.Store(false)
+	fsys.fails.Store(false)
 	require.Eventually(t, func() bool { return r.IsStorageHealthy() && !r.Effective().LeaseExpired }, 10*time.Second, 10*time.Millisecond)
 }
 
-// A voter sends nothing while it saves. No leader may be replaced for that, or elections fail for as long as
-// a disk is slow.
+// A voter sends nothing while it saves. If leaders were replaced for that, elections would fail as long as a
+// disk is slow.
 func TestSlowDiskDelaysElections(t *testing.T) {
 	at := 1000.0
 	n, err := consensus.New(consensus.Config{Name: "n1", Voters: []string{"n1", "n2", "n3"}, LeaseMillis: 600, RenewIntervalMillis: 60, ElectionTimeoutMillis: 100, Seed: 1}, consensus.InitialState("n1", []string{"n1", "n2", "n3"}), at)
@@ -295,9 +296,9 @@
 		}
 		return false
 	}
-	require.True(t, campaigns(250), "a quick disk: within twice the election's time")
+	require.True(t, campaigns(250), "with a fast disk, it campaigns within twice the election timeout")
 	n.RecordSaveDuration(500)
-	campaigns(250) // what was drawn before
-	require.False(t, campaigns(1900), "500 ms for a save: not before 2 s")
+	campaigns(250) // the delay that was drawn before the slow save
+	require.False(t, campaigns(1900), "with a save of 500 ms, it does not campaign within 2 s")
 	require.True(t, campaigns(4100))
 }
--- a/internal/cluster/consensus/runner/statefile.go
+++ b/internal/cluster/consensus/runner/statefile.go
@@ -21,7 +21,8 @@
 
 // stateFile is the content of the state file after its first line, which is the checksum of the rest.
 // Identity is the file system's identity of the file. It reveals a copy, however that was made: a copy has
-// another identity, even one that replaced the original.
+// another identity, even one that was
+// written over the original.
 type stateFile struct {
 	Format   int                    `json:"format"`
 	Identity string                 `json:"birth"`
--- a/internal/cluster/consensus/state.go
+++ b/internal/cluster/consensus/state.go
@@ -21,19 +21,22 @@
 	Versions    VersionState      `json:"held"`
 	History     []Version         `json:"versions"` // the newest maxVersionHistory versions, for operators
 	Names       map[uint64]string `json:"names"`    // names of voters and learners, by identity
-	Outcomes    []proposalOutcome `json:"done"`     // outcomes of the latest proposals, so that a repeated one takes effect once
-	JobsEpoch   uint64            `json:"epoch,omitempty"`
-	Jobs        jobs.StateMachine `json:"ledger"`
+	// Outcomes are those of the latest proposals, so that a repeated proposal takes effect once.
+	Outcomes  []proposalOutcome `json:"done"`
+	JobsEpoch uint64            `json:"epoch,omitempty"`
+	Jobs      jobs.StateMachine `json:"ledger"`
 }
 
 // proposalOutcome is the outcome of a proposal that was committed to the log.
 type proposalOutcome struct {
-	ID            uint64              `json:"id"`
-	VersionNumber int                 `json:"n,omitempty"` // of the version that the proposal created; 0: none
-	Reason        string              `json:"why,omitempty"`
-	IsJobEntry    bool                `json:"work,omitempty"` // the proposal was an entry about a job, and the jobs' state machine applied or rejected it
-	Job           string              `json:"name,omitempty"`
-	Rejected      *jobs.RejectedError `json:"refused,omitempty"`
+	ID            uint64 `json:"id"`
+	VersionNumber int    `json:"n,omitempty"` // of the version that the proposal created; 0: none
+	Reason        string `json:"why,omitempty"`
+	// IsJobEntry is set if the proposal was an entry about a job, and the jobs' state machine applied or
+	// rejected it.
+	IsJobEntry bool                `json:"work,omitempty"`
+	Job        string              `json:"name,omitempty"`
+	Rejected   *jobs.RejectedError `json:"refused,omitempty"`
 }
 
 func (o *proposalOutcome) accepted() bool {
--- a/internal/cluster/consensus/state_test.go
+++ b/internal/cluster/consensus/state_test.go
@@ -10,7 +10,7 @@
 	"ashstand/internal/cluster/jobs"
 )
 
-// One version is pending at a time, and a proposal counts once, however often it was committed.
+// Only one version is pending at a time, and a proposal takes effect once, however often it was committed.
 func TestStateAppliesOneVersionAtATime(t *testing.T) {
 	var s replicatedState
 	first := s.apply(proposeVersion{ID: 1, Version: Version{Rules: Rules{"tries": 3.0}}}, false)
@@ -29,7 +29,7 @@
 	require.Len(t, s.History, 2)
 }
 
-// A job changes rules under its token alone; the change is made to the active rules.
+// A job can change rules only under its current token. The change is applied to the active rules.
 func TestStateAppliesRuleChangesOfJobs(t *testing.T) {
 	s := replicatedState{Versions: VersionState{Active: Version{Rules: Rules{"tries": 3.0, "class.a.repeat": true}}}}
 	for id, e := range []jobs.Entry{{Type: jobs.EntryCreate, Job: "j", JobKind: "k"}, {Type: jobs.EntryAssign, Job: "j", Holder: "n1", Incarnation: 1}} {
@@ -52,10 +52,10 @@
 	require.Equal(t, jobs.RejectStaleToken, outcome.Rejected.Reason)
 	result := s.result(outcome)
 	require.Equal(t, outcome.Rejected.Error(), result.Reason)
-	require.Equal(t, "j", result.Jobs[0].Name, "the proposer learns the present state")
+	require.Equal(t, "j", result.Jobs[0].Name, "the proposer gets the current state")
 }
 
-// What is kept of proposals and versions is bounded.
+// The state keeps a bounded number of outcomes and versions.
 func TestStateIsBounded(t *testing.T) {
 	var s replicatedState
 	for i := range 2 * maxOutcomes {
@@ -68,7 +68,7 @@
 	require.NotNil(t, s.outcome(2*maxOutcomes))
 }
 
-// The rules of a copy of the state that was read from a snapshot go on as in the original.
+// State that was restored from a snapshot applies further commands with the same results as the original.
 func TestStateFromSnapshotAppliesAlike(t *testing.T) {
 	original := goldenState()
 	data, err := json.Marshal(original)
@@ -82,7 +82,8 @@
 	require.Equal(t, original, r.state)
 }
 
-// Entries that no command has are skipped, and malformed ones are errors, alike on every replica.
+// Entries without a command are skipped, and malformed ones are errors, so that all replicas treat them the
+// same.
 func TestDecodeCommand(t *testing.T) {
 	for _, empty := range []string{"", "{}", `{"id":3}`, `{"force":-1}`} {
 		c, err := decodeCommand([]byte(empty))
