--- a/internal/cluster/consensus/grants.go
+++ b/internal/cluster/consensus/grants.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// maxGrantJobBytes is the approximate maximum size of the jobs in one grant. The next grant contains the
-	// others.
+	// maxGrantJobBytes is the approximate maximum size of the jobs in one grant. Later grants
+	// contain the others.
 	maxGrantJobBytes = 48 << 10
 	// jobOverheadBytes is the approximate size of a job without its payloads.
 	jobOverheadBytes = 256
@@ -138,9 +138,9 @@
 	return holders[key]
 }
 
-// addJobs adds the jobs that changed since a request's revision to its grant. Every grant contains the jobs
-// whose lease the pooler holds. The others are sent at most once per half lease, since nothing waits for them
-// and a busy job changes with each operation.
+// addJobs adds the jobs that changed since a request's revision to its grant. Every grant includes
+// those whose lease the pooler holds. The others are sent at most once per half lease, unless the pooler knows
+// no jobs yet, since nothing waits for them and a busy job changes with each operation.
 func (n *Node) addJobs(grant *LeaseGrant, r renewal, holder *leaseHolder) {
 	state := &n.replica.state
 	if grant.JobsEpoch = state.JobsEpoch; grant.JobsEpoch == 0 {
--- a/internal/cluster/consensus/runner/runner_test.go
+++ b/internal/cluster/consensus/runner/runner_test.go
@@ -222,7 +222,7 @@
 
 type unsyncedFile struct {
 	vfs.File
-	on *unsyncedFS
+	fsys *unsyncedFS
 }
 
 func (d *unsyncedFS) Create(path string) (vfs.File, error) {
@@ -231,7 +231,7 @@
 }
 
 func (f unsyncedFile) Sync() error {
-	if f.on.fails.Load() {
+	if f.fsys.fails.Load() {
 		return &vfs.Error{Op: "sync", Path: "f", Err: syscall.EIO}
 	}
 	return f.File.Sync()
--- a/internal/cluster/consensus/state.go
+++ b/internal/cluster/consensus/state.go
@@ -30,7 +30,7 @@
 // proposalOutcome is the outcome of a proposal that was committed to the log.
 type proposalOutcome struct {
 	ID            uint64 `json:"id"`
-	VersionNumber int    `json:"n,omitempty"` // of the version that the proposal created; 0: none
+	VersionNumber int    `json:"n,omitempty"` // number of the version that the proposal created; 0: none
 	Reason        string `json:"why,omitempty"`
 	// IsJobEntry is set if the proposal was an entry about a job, and the jobs' state machine applied or
 	// rejected it.
