--- a/cmd/ashstand/cluster.go
+++ b/cmd/ashstand/cluster.go
@@ -98,7 +98,7 @@
 	}
 	f.gossip, err = membership.Start(membership.Options{
 		Self: self, Listen: o.Listen, Peers: o.Peers, Keys: keys, MaxMembers: o.Members, ProbeInterval: o.Probe,
-		Seed: cfg.seed, Clock: now, OnChange: f.changed, Break: broken, OnMessage: f.message,
+		Seed: cfg.seed, Clock: now, OnChange: f.changed, DisabledGuarantee: broken, OnMessage: f.message,
 	})
 	if err != nil {
 		f.stop()
@@ -128,7 +128,7 @@
 	}
 	c := consensus.Config{
 		Name: self.Name, Incarnation: self.Incarnation, Voters: a.Voters, LeaseMillis: clock.Millis(a.Lease), ClockDrift: a.Drift, RenewIntervalMillis: clock.Millis(a.Renew),
-		ElectionTimeoutMillis: clock.Millis(a.Election), Limits: limits, Format: newestFormat, Seed: cfg.seed, Scheduler: schedulerConfig(cfg), Break: broken,
+		ElectionTimeoutMillis: clock.Millis(a.Election), Limits: limits, Format: newestFormat, Seed: cfg.seed, Scheduler: schedulerConfig(cfg), DisabledGuarantee: broken,
 	}
 	f.config = c
 	var err error
--- a/cmd/ashstand/config.go
+++ b/cmd/ashstand/config.go
@@ -259,7 +259,7 @@
 		return l, nil
 	}
 	l = pg.SessionLimits{
-		Clients: s.Clients, Servers: s.ServerConnections, Bytes: share, Message: min(s.MaxMessage, max(64<<10, share/2)),
+		MaxClients: s.Clients, MaxServerConnections: s.ServerConnections, MaxBytes: share, MaxMessageBytes: min(s.MaxMessage, max(64<<10, share/2)),
 		MaxPausedTransactions: s.Held, RetryAfterMillis: after, ConnectTimeout: c.site.ConnectTimeout, Users: map[string]pg.Verifier{},
 	}
 	if l.ConnectTimeout <= 0 {
@@ -273,8 +273,8 @@
 	for _, p := range s.Pools {
 		l.Pools = append(l.Pools, pg.PoolSettings{
 			Name: p.Name, Database: p.Database, User: p.User, Mode: pg.Mode(p.Mode),
-			Sizes: session.Sizes{MaxConnections: p.Size, MaxWaiting: p.Waiting}, ReservedForSticky: p.Reserve,
-			Defaults:                session.Defaults{ReadOnly: p.ReadOnly, ReadWrite: p.ReadWrite, SelectsAsRead: p.SelectsReadOnly, Group: p.Group},
+			Sizes: session.HostPoolLimits{MaxConnections: p.Size, MaxWaiting: p.Waiting}, ReservedForSticky: p.Reserve,
+			Defaults:                session.RouteDefaults{ReadOnly: p.ReadOnly, ReadWrite: p.ReadWrite, SelectsAsRead: p.SelectsReadOnly, Group: p.Group},
 			WaitTimeoutMillis:       clock.Millis(p.Patience),
 			IdleInTransactionMillis: clock.Millis(p.IdleInTransaction), ServerLifetimeMillis: clock.Millis(p.ServerLife),
 			ServerIdleMillis: c.serverIdle(p.ServerIdle), MaxPreparedStatements: p.Statements, MaxSticky: p.Pins, MaxPausedTransactions: p.Held, MaxPauseMillis: clock.Millis(p.Hold),
--- a/cmd/ashstand/main.go
+++ b/cmd/ashstand/main.go
@@ -117,7 +117,7 @@
 	b := &bounds{
 		connect: cfg.site.ConnectTimeout,
 		core:    edge.Limits{StatementBytes: share, RetryAfterMillis: after},
-		front:   pg.FrontLimits{Clients: clients, Bytes: share, RetryAfterMillis: after},
+		front:   pg.FrontLimits{MaxClients: clients, MaxUnreadBytes: share, RetryAfterMillis: after},
 		pool:    pg.PoolLimits{Connections: connections, Bytes: share, ConnectTimeout: cfg.site.ConnectTimeout, IdleTimeout: cfg.site.ConnIdleTimeout},
 	}
 	longest := time.Duration(0)
@@ -160,7 +160,7 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	n.pool.Listed, n.hosts.IsListed = n.facade.IsActive, n.facade.IsActive
-	n.pool.Handshaking = n.facade.SlowStartHandshake
+	n.pool.OnHandshake = n.facade.CountHandshake
 	apply := discovery.NewApplier(n.facade.UpdateEndpoints, backend, func(e discovery.Endpoint) edge.Backend {
 		if slices.Contains(cfg.flight.HostTypes, e.Type) {
 			return n.hosts
@@ -171,7 +171,7 @@
 		n.pooled = pg.NewSessionFront(n.engine, n.facade, now, pg.Platform, b.pooled)
 		if what := os.Getenv("ASHSTAND_BREAK"); what != "" {
 			slog.Error("a guarantee is switched off, to see its checker fail: " + what)
-			n.pooled.Break(what)
+			n.pooled.DisableGuarantee(what)
 		}
 		if err := n.engine.AddListener(s.Listen, n.pooled.Accept); err != nil {
 			return nil, fmt.Errorf("sessions: listen on %s: %w", s.Listen, err)
@@ -222,7 +222,7 @@
 	if n.pooled != nil {
 		go every(ctx, pg.SweepInterval, n.pooled.Sweep)
 		log.Printf("%s pools sessions on %s; at most %d clients and %d server connections", cfg.Name, cfg.operator.Sessions.Listen,
-			b.pooled.Clients, b.pooled.Servers)
+			b.pooled.MaxClients, b.pooled.MaxServerConnections)
 	}
 	if n.keeper != nil {
 		go n.keeper.run(ctx)
@@ -235,7 +235,7 @@
 	warming := warmuplog.New()
 	go every(ctx, warmuplog.Interval, func() { warming.Report(n.clock.Now(), n.facade.WarmingHosts()) })
 	log.Printf("%s listens on %s; at most %d clients and %d connections to hosts, idle for %v at most", cfg.Name, cfg.Listen,
-		b.front.Clients, b.pool.Connections, b.pool.IdleTimeout)
+		b.front.MaxClients, b.pool.Connections, b.pool.IdleTimeout)
 	return n, nil
 }
 
--- a/cmd/ashstand/replay.go
+++ b/cmd/ashstand/replay.go
@@ -134,7 +134,7 @@
 		unread = append(unread, p.Data...)
 		for {
 			command := parser.Next(unread)
-			unread = unread[command.Used:]
+			unread = unread[command.Size:]
 			switch command.Kind {
 			case pg.Incomplete:
 			case pg.Query:
@@ -149,7 +149,7 @@
 				say(false, pg.EncodeResult(&r))
 				continue
 			case pg.Startup:
-				say(false, pg.Greeting(0, command.Minor))
+				say(false, pg.Greeting(0, command.NewerMinor))
 				continue
 			case pg.Malformed: // nothing behind this can be told apart
 				t.broken++
--- a/cmd/ashstand/shutdown.go
+++ b/cmd/ashstand/shutdown.go
@@ -77,7 +77,7 @@
 		}
 		close(idle)
 	}()
-	if s.wait(func(schedule lifecycle.ShutdownSchedule) time.Duration { return schedule.CutAt }, idle) {
+	if s.wait(func(schedule lifecycle.ShutdownSchedule) time.Duration { return schedule.TerminateAt }, idle) {
 		log.Printf("drained: every request has its answer")
 	} else {
 		log.Printf("drained: time is up; what is open gets an error")
@@ -87,15 +87,15 @@
 // cut gives what is open its final answer, and the event loop the time to write it.
 func (s *shutdown) cut() {
 	n := s.node
-	n.core.Advance(lifecycle.CutStarted)
-	n.front.Cut()
+	n.core.Advance(lifecycle.TerminationStarted)
+	n.front.CloseClients()
 	if n.flight != nil {
 		n.flight.Cut()
 	}
 	if n.pooled != nil {
-		n.pooled.Cut()
+		n.pooled.CloseClients()
 	}
-	written := time.Now().Add(s.schedule.ExitAt - s.schedule.CutAt)
+	written := time.Now().Add(s.schedule.ExitAt - s.schedule.TerminateAt)
 	if n.admin != nil {
 		n.admin.Stop()
 	}
--- a/cmd/testbed/cluster.go
+++ b/cmd/testbed/cluster.go
@@ -116,7 +116,7 @@
 }
 
 func clusterMembers() *cobra.Command {
-	return clusterRun("members", "who the poolers believe to be there, through dropped links, stalls, crashes and partitions", false, membership.Breakable)
+	return clusterRun("members", "who the poolers believe to be there, through dropped links, stalls, crashes and partitions", false, membership.BreakableGuarantees)
 }
 
 func clusterAgree() *cobra.Command {
--- a/internal/cluster/consensus/config.go
+++ b/internal/cluster/consensus/config.go
@@ -25,11 +25,11 @@
 	// Seed seeds the random source, together with Incarnation.
 	Seed      uint64
 	Scheduler jobs.SchedulerConfig
-	// Break names a guarantee that is switched off to show that its checker fails; "": none.
-	Break string
+	// DisabledGuarantee names a guarantee that is switched off to show that its checker fails; "": none.
+	DisabledGuarantee string
 }
 
-// The values of Config.Break.
+// The values of Config.DisabledGuarantee.
 const (
 	breakLease     = "lease"  // leases don't expire
 	breakStrictest = "meet"   // a node acts on a pending version alone
@@ -38,7 +38,7 @@
 	breakToken     = "token"  // fencing tokens don't rise
 )
 
-// BreakableGuarantees are the values of Config.Break that the simulation of this package tries.
+// BreakableGuarantees are the values of Config.DisabledGuarantee that the simulation of this package tries.
 var BreakableGuarantees = []string{breakLease, breakStrictest, breakQuorum, breakFence}
 
 // Raft's timeouts, in ticks. One tick is a tenth of the election timeout.
--- a/internal/cluster/consensus/grants.go
+++ b/internal/cluster/consensus/grants.go
@@ -93,7 +93,7 @@
 		return
 	}
 	q.startBatch(n.now)
-	if n.cfg.Break == breakQuorum {
+	if n.cfg.DisabledGuarantee == breakQuorum {
 		q.confirm(q.batch, 0)
 		n.grantAll(q.finishBatch())
 		return
--- a/internal/cluster/consensus/leader.go
+++ b/internal/cluster/consensus/leader.go
@@ -89,7 +89,7 @@
 
 // isConfirmed reports whether every pooler whose lease may not have expired yet acts on a version already.
 func (n *Node) isConfirmed(version int) bool {
-	if n.cfg.Break == breakQuorum {
+	if n.cfg.DisabledGuarantee == breakQuorum {
 		return true
 	}
 	if n.now < n.leadership.leasesEndedAt {
--- a/internal/cluster/consensus/lease.go
+++ b/internal/cluster/consensus/lease.go
@@ -9,7 +9,7 @@
 	ExpiresAt         float64             // by the node's clock, in milliseconds
 	Jobs              map[string]jobs.Job // as far as this pooler knows them; read-only
 	limits            Rules
-	disabledGuarantee string // Config.Break
+	disabledGuarantee string // Config.DisabledGuarantee
 }
 
 // EffectiveRules are the rules that a pooler acts on at a given time.
--- a/internal/cluster/consensus/node.go
+++ b/internal/cluster/consensus/node.go
@@ -142,7 +142,7 @@
 		ExpiresAt:         n.client.expiresAt,
 		Jobs:              n.client.jobs.byName,
 		limits:            n.cfg.Limits,
-		disabledGuarantee: n.cfg.Break,
+		disabledGuarantee: n.cfg.DisabledGuarantee,
 	}
 }
 
--- a/internal/cluster/consensus/raft.go
+++ b/internal/cluster/consensus/raft.go
@@ -218,7 +218,7 @@
 // applyCommand applies a command to the replicated state, and sends the notification and the result that
 // follow from it.
 func (n *Node) applyCommand(c command) {
-	outcome := n.replica.state.apply(c, n.cfg.Break == breakToken)
+	outcome := n.replica.state.apply(c, n.cfg.DisabledGuarantee == breakToken)
 	if outcome == nil {
 		return
 	}
--- a/internal/cluster/membership/gossip.go
+++ b/internal/cluster/membership/gossip.go
@@ -79,7 +79,7 @@
 	g.mu.Lock()
 	g.options.Self.Address = adapter.Address().String()
 	g.table = NewTable(g.options.Self, g.options.MaxMembers, g.options.Clock.Now())
-	g.table.allowNameConflicts = g.options.Break == disableNameOwnership
+	g.table.allowNameConflicts = g.options.DisabledGuarantee == disableNameOwnership
 	g.transport, g.nameLostAt = adapter, 0
 	g.mu.Unlock()
 	list, err := memberlist.Create(g.memberlistConfig(adapter))
--- a/internal/cluster/membership/options.go
+++ b/internal/cluster/membership/options.go
@@ -26,18 +26,18 @@
 	OnChange func([]Change)
 	// OnMessage receives the bytes that another member passes to Send. It must not block. It may be nil.
 	OnMessage func(b []byte)
-	// Break names a guarantee to disable, so that a test can see its checker fail. Empty disables none.
-	Break string
+	// DisabledGuarantee names a guarantee to disable, so that a test can see its checker fail. Empty disables none.
+	DisabledGuarantee string
 }
 
-// The guarantees that Options.Break can disable.
+// The guarantees that Options.DisabledGuarantee can disable.
 const (
 	disableNameOwnership = "names"  // a name belongs to only one incarnation
 	disableRejoin        = "rejoin" // missing peers are joined again
 )
 
-// Breakable lists the guarantees that Options.Break can name.
-var Breakable = []string{disableNameOwnership, disableRejoin}
+// BreakableGuarantees lists the guarantees that Options.DisabledGuarantee can name.
+var BreakableGuarantees = []string{disableNameOwnership, disableRejoin}
 
 const (
 	// watchInterval is the time between two updates of the table from memberlist. It is far below a probe
--- a/internal/cluster/membership/watch.go
+++ b/internal/cluster/membership/watch.go
@@ -45,7 +45,7 @@
 		*s = rejoinSchedule{backoff: minRejoinBackoff}
 		return
 	}
-	if now < s.next || g.options.Break == disableRejoin {
+	if now < s.next || g.options.DisabledGuarantee == disableRejoin {
 		return
 	}
 	g.join(names)
--- a/internal/dispatch/call.go
+++ b/internal/dispatch/call.go
@@ -179,7 +179,7 @@
 	if !c.finished {
 		c.finish()
 		select {
-		case c.decisions <- Decision{Verdict: ClientGone}: // wakes a goroutine that is blocked in Pick
+		case c.decisions <- Decision{Verdict: ClientDisconnected}: // wakes a goroutine that is blocked in Pick
 		default:
 		}
 	}
@@ -198,7 +198,7 @@
 		return
 	}
 	c.finish()
-	c.decisions <- Decision{Verdict: ClientGone}
+	c.decisions <- Decision{Verdict: ClientDisconnected}
 	d.step(d.clock.Now(), routing.ClientGone{ID: c.id})
 }
 
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -67,7 +67,7 @@
 		t.Error("the attempt may be written although the data is older than its staleness bound")
 	}
 	report()
-	call.Report(NeverBegun(NotSent))
+	call.Report(NotBegunOutcome(NotSent))
 	d.Tick()
 	if decision := call.Pick(); decision.Verdict != Send {
 		t.Fatalf("after a failed revalidation: got %+v, want another attempt", decision)
@@ -131,7 +131,7 @@
 	call.Pick()
 	call.Abandon()
 	call.Abandon()
-	if decision := call.Pick(); decision.Verdict != ClientGone {
+	if decision := call.Pick(); decision.Verdict != ClientDisconnected {
 		t.Errorf("%+v", decision)
 	}
 	call.Report(Outcome{Code: Cancelled}) // the attempt that was in flight
@@ -174,7 +174,7 @@
 		}
 		call.Finish(Outcome{Code: Cancelled})
 	}
-	if decision := <-woken; decision.Verdict != ClientGone {
+	if decision := <-woken; decision.Verdict != ClientDisconnected {
 		t.Fatalf("%+v", decision)
 	}
 	d.UpdateEndpoints(true, []Endpoint{{Host: "p", Group: 1, Primary: true}})
@@ -193,7 +193,7 @@
 // answer from then on. The same holds for a call that ended without the router being notified.
 func TestFinishedQueuedCallTakesNoCapacity(t *testing.T) {
 	for name, end := range map[string]func(*Dispatcher, *Call){
-		"finished":      func(_ *Dispatcher, call *Call) { call.Finish(NeverBegun(NotSent)) },
+		"finished":      func(_ *Dispatcher, call *Call) { call.Finish(NotBegunOutcome(NotSent)) },
 		"ended unheard": func(d *Dispatcher, call *Call) { call.finish(); d.Tick() },
 	} {
 		const limit = 3
--- a/internal/dispatch/slowstart.go
+++ b/internal/dispatch/slowstart.go
@@ -42,8 +42,8 @@
 	return record
 }
 
-// SlowStartHandshake counts a connection to a host whose handshake is about to begin, if the host is warming.
-func (d *Dispatcher) SlowStartHandshake(host string) {
+// CountHandshake counts a connection to a host whose handshake is about to begin, if the host is warming.
+func (d *Dispatcher) CountHandshake(host string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.countSlowStart(host, routing.PathHandshake)
@@ -74,10 +74,10 @@
 	return all
 }
 
-// Written records that the attempt picked last was written at the given time, and reports whether its
+// RecordWrite records that the attempt picked last was written at the given time, and reports whether its
 // warming host was thereby sent more than slow start permits. It must be called at most once per attempt, no
 // later than at the attempt's end.
-func (c *Call) Written(at float64) (isOverrun bool) {
+func (c *Call) RecordWrite(at float64) (isOverrun bool) {
 	d := c.dispatcher
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/dispatch/types.go
+++ b/internal/dispatch/types.go
@@ -69,10 +69,10 @@
 
 // The verdicts. All but Send are final.
 const (
-	Send       Verdict = iota
-	Reject             // the request is rejected: a retry is harmless
-	Fail               // the request fails: it may have run
-	ClientGone         // the request needs no answer: its client has disconnected, or Finish ended the call
+	Send               Verdict = iota
+	Reject                     // the request is rejected: a retry is harmless
+	Fail                       // the request fails: it may have run
+	ClientDisconnected         // the request needs no answer: its client has disconnected, or Finish ended the call
 )
 
 // Decision is a verdict with its parameters. Times are in milliseconds.
@@ -97,8 +97,8 @@
 	Report    Report
 }
 
-// NeverBegun returns the outcome of an attempt of which no byte was written.
-func NeverBegun(code Code) Outcome { return Outcome{Code: code, Execution: NotBegun} }
+// NotBegunOutcome returns the outcome of an attempt of which no byte was written.
+func NotBegunOutcome(code Code) Outcome { return Outcome{Code: code, Execution: NotBegun} }
 
 // Report is the role and position from a load report.
 type Report struct {
--- a/internal/edge/answer.go
+++ b/internal/edge/answer.go
@@ -28,13 +28,13 @@
 	WrittenAt float64
 }
 
-// NotBegun returns the reply of an attempt that ended before any byte of the request was written.
-func NotBegun(code dispatch.Code, detail string) Reply {
-	return Reply{Outcome: dispatch.NeverBegun(code), Detail: detail}
+// NotBegunReply returns the reply of an attempt that ended before any byte of the request was written.
+func NotBegunReply(code dispatch.Code, detail string) Reply {
+	return Reply{Outcome: dispatch.NotBegunOutcome(code), Detail: detail}
 }
 
-// NotSent returns the reply of an attempt that its Gate did not permit.
-func NotSent() Reply { return NotBegun(dispatch.NotSent, "") }
+// NotSentReply returns the reply of an attempt that its Gate did not permit.
+func NotSentReply() Reply { return NotBegunReply(dispatch.NotSent, "") }
 
 // Result is the one final answer to a request.
 type Result struct {
--- a/internal/edge/attempt.go
+++ b/internal/edge/attempt.go
@@ -76,7 +76,7 @@
 			return history.reject(metrics.RejectNoHost, decision.RetryAfter, "no host can serve this now", decision.Reason)
 		case dispatch.Fail:
 			return history.fail(decision.Reason)
-		case dispatch.ClientGone:
+		case dispatch.ClientDisconnected:
 			if errors.Is(context.Cause(ctx), ErrProcessEnding) {
 				return history.resultAtShutdown()
 			}
@@ -84,7 +84,7 @@
 		case dispatch.Send:
 		}
 		if !history.mayRepeat(decision.Host) {
-			call.Finish(dispatch.NeverBegun(dispatch.NotSent))
+			call.Finish(dispatch.NotBegunOutcome(dispatch.NotSent))
 			return history.fail(decision.Reason)
 		}
 		a := &attempt{edge: e, call: call, decision: decision, statement: s, client: ctx, deadline: deadline}
@@ -101,7 +101,7 @@
 			return Result{Verdict: Served, Answer: reply.Answer}
 		}
 		history.addUnserved(a, &reply, code)
-		if retry.Reason == lifecycle.ProcessCutting {
+		if retry.Reason == lifecycle.ProcessTerminating {
 			return history.resultAtShutdown()
 		}
 	}
@@ -143,7 +143,7 @@
 func (a *attempt) exchange(ctx context.Context) Reply {
 	remaining := a.decision.Deadline - a.edge.clock.Now()
 	if remaining <= 0 || ctx.Err() != nil {
-		return NotSent()
+		return NotSentReply()
 	}
 	ctx, cancel := context.WithTimeout(ctx, clock.Duration(remaining))
 	defer cancel()
@@ -159,12 +159,12 @@
 func acquireFailureReply(ctx context.Context, err error) Reply {
 	switch {
 	case errors.Is(err, ErrHostRejected), errors.Is(err, ErrPoolExhausted):
-		return NotBegun(dispatch.Rejected, err.Error())
+		return NotBegunReply(dispatch.Rejected, err.Error())
 	case errors.Is(err, ErrUnlisted):
-		return NotSent()
+		return NotSentReply()
 	case ctx.Err() != nil: // the client disconnected or the attempt timed out, which is no evidence against the host
-		return NotSent()
+		return NotSentReply()
 	default:
-		return NotBegun(dispatch.NoConnection, err.Error())
+		return NotBegunReply(dispatch.NoConnection, err.Error())
 	}
 }
--- a/internal/edge/check.go
+++ b/internal/edge/check.go
@@ -25,12 +25,12 @@
 		TimeoutMillis:  a.hostTimeout.load(),
 		ClientDeadline: a.deadline,
 		DisconnectedAt: disconnectedAt(a.client),
-		CutAt:          a.edge.cutAt.load(),
+		TerminatedAt:   a.edge.cutAt.load(),
 		InactiveSince:  a.edge.dispatcher.InactiveSince(a.decision.Host),
 	}) {
 		a.recordViolation(rule)
 	}
-	if a.call.Written(reply.WrittenAt) {
+	if a.call.RecordWrite(reply.WrittenAt) {
 		a.recordViolation(lifecycle.SlowStartOverrun)
 	}
 }
--- a/internal/edge/check_test.go
+++ b/internal/edge/check_test.go
@@ -30,7 +30,7 @@
 
 func (b *misbehavingBackend) Exchange(_ context.Context, _ *sqlcomment.Statement, gate Gate) Reply {
 	if _, ok := gate(); !ok && !b.ignoreGate {
-		return NotSent()
+		return NotSentReply()
 	}
 	if b.beforeWrite != nil {
 		b.beforeWrite()
@@ -106,8 +106,8 @@
 				s.clock.Advance(lifecycle.DisconnectGraceMillis + 1)
 			}
 		}},
-		{lifecycle.AttemptAfterCut, anyRead, func(s *setup) {
-			s.e.Advance(lifecycle.CutStarted)
+		{lifecycle.AttemptAfterTermination, anyRead, func(s *setup) {
+			s.e.Advance(lifecycle.TerminationStarted)
 			s.clock.Advance(lifecycle.StallGraceMillis + 1)
 			s.b.ignoreGate = true
 		}},
@@ -152,7 +152,7 @@
 		h.add(a, &Reply{Outcome: dispatch.Outcome{Code: dispatch.Misdirected, Execution: dispatch.RejectedUnexecuted}, WrittenAt: manual.Now()})
 		h.add(a, &Reply{Outcome: dispatch.Outcome{Code: dispatch.ConnectionLost}, WrittenAt: manual.Now()})
 		require.Empty(t, violations(t, e), "nothing ran before this attempt")
-		notSent := NotSent()
+		notSent := NotSentReply()
 		h.add(a, &notSent)
 		require.Empty(t, violations(t, e), "the attempt was not written")
 		manual.Advance(test.pause)
@@ -175,11 +175,11 @@
 	require.Equal(t, lifecycle.Ready, e.Phase())
 }
 
-// After the phase Cutting has begun, a request whose attempt fails is rejected if it did not run and
+// After the phase Terminating has begun, a request whose attempt fails is rejected if it did not run and
 // otherwise fails. No further attempt is made.
 func TestNoAttemptAfterCut(t *testing.T) {
 	for outcome, want := range map[dispatch.Outcome]Verdict{
-		dispatch.NeverBegun(dispatch.NoConnection): Rejected, {Code: dispatch.ConnectionLost}: Failed, {Code: dispatch.ServerError}: Failed,
+		dispatch.NotBegunOutcome(dispatch.NoConnection): Rejected, {Code: dispatch.ConnectionLost}: Failed, {Code: dispatch.ServerError}: Failed,
 		{Code: dispatch.NoConnection}: Failed, {Code: dispatch.Rejected, Execution: dispatch.Ran}: Failed,
 	} {
 		e, b, s, _ := newCheckedEdge(t, "/* id=1,c=once,d=900,cluster=1 */ INSERT")
@@ -187,7 +187,7 @@
 		written := 0
 		b.beforeWrite = func() {
 			written++
-			e.Advance(lifecycle.CutStarted)
+			e.Advance(lifecycle.TerminationStarted)
 		}
 		require.Equal(t, want, e.Do(context.Background(), s, e.Now()).Verdict, "%+v", outcome)
 		require.Equal(t, 1, written)
--- a/internal/edge/edge.go
+++ b/internal/edge/edge.go
@@ -28,7 +28,7 @@
 	metrics    *metrics.Metrics
 	requestLog *requestLog
 	phase      atomic.Uint32 // lifecycle.Phase
-	cutAt      atomicMillis  // when the phase became lifecycle.Cutting; 0: it has not
+	cutAt      atomicMillis  // when the phase became lifecycle.Terminating; 0: it has not
 
 	mu             sync.Mutex // guards the fields below
 	limits         Limits
@@ -76,7 +76,7 @@
 		if to == from {
 			return to
 		}
-		if to == lifecycle.Cutting {
+		if to == lifecycle.Terminating {
 			e.cutAt.store(e.clock.Now())
 		}
 		if e.phase.CompareAndSwap(uint32(from), uint32(to)) {
@@ -109,8 +109,8 @@
 // Now returns the current time of the clock by which requests are timed, in Unix milliseconds.
 func (e *Edge) Now() float64 { return e.clock.Now() }
 
-// Writes reports whether the requests of a class are writes.
-func (e *Edge) Writes(class string) bool { return e.dispatcher.IsWrite(class) }
+// IsWrite reports whether the requests of a class are writes.
+func (e *Edge) IsWrite(class string) bool { return e.dispatcher.IsWrite(class) }
 
 // Drain returns a channel that is closed once no request is open. Requests that come later are still served.
 func (e *Edge) Drain() <-chan struct{} {
--- a/internal/edge/edge_test.go
+++ b/internal/edge/edge_test.go
@@ -30,7 +30,7 @@
 
 func (b *fakeBackend) Exchange(_ context.Context, _ *sqlcomment.Statement, gate Gate) Reply {
 	if _, ok := gate(); !ok {
-		return NotSent()
+		return NotSentReply()
 	}
 	b.clock.Advance(20)
 	return Reply{Outcome: dispatch.Outcome{Code: dispatch.OK, Role: dispatch.Primary}, Answer: Answer{Value: []byte("four")}}
--- a/internal/edge/gone_test.go
+++ b/internal/edge/gone_test.go
@@ -53,7 +53,7 @@
 func (b *hookedBackend) Exchange(_ context.Context, _ *sqlcomment.Statement, gate Gate) Reply {
 	b.hook("gate")
 	if _, ok := gate(); !ok {
-		return NotSent()
+		return NotSentReply()
 	}
 	b.mu.Lock()
 	b.written++
--- a/internal/faulthook/faulthook.go
+++ b/internal/faulthook/faulthook.go
@@ -14,8 +14,8 @@
 	// CarryOutInvalidDecisions carries out decisions that contradict the facts of a request. They are still
 	// counted as rule violations.
 	CarryOutInvalidDecisions Fault = "carry_out"
-	// CountNothing suppresses the counting and logging of rule violations.
-	CountNothing Fault = "count_nothing"
+	// SuppressViolations suppresses the counting and logging of rule violations.
+	SuppressViolations Fault = "count_nothing"
 	// ServeStale serves an answer even if its stamped position is too old for the request.
 	ServeStale Fault = "serve_stale"
 	// IgnoreSlowStart chooses warming hosts, and sends requests to them, as if they were warm.
--- a/internal/lifecycle/closereason.go
+++ b/internal/lifecycle/closereason.go
@@ -9,7 +9,7 @@
 	ClosedTerminate                        // the client sent Terminate
 	ClosedCancelRequest                    // the connection carried a cancel request, which gets no answer
 	ClosedDraining                         // the process is draining, and the connection was between requests
-	ClosedCutting                          // the process ends; the client was sent an error
+	ClosedByShutdown                       // the process ends; the client was sent an error
 	ClosedIdle                             // the connection was idle while its place, or many places, were needed
 	ClosedSilent                           // the client did not complete a message in time
 	ClosedProtocol                         // the client violated the protocol and was sent an error
@@ -36,10 +36,10 @@
 // CloseReasons returns all reasons.
 func CloseReasons() []CloseReason { return enumerate(closeReasonCount) }
 
-// OwesAnswers reports whether every request of a connection must be answered before the connection is closed
+// RequiresAnswers reports whether every request of a connection must be answered before the connection is closed
 // for this reason. That is so if the pooler itself closes the connection, unless it does so because the
 // client has disconnected or does not read, or because the event loop failed.
-func (r CloseReason) OwesAnswers() bool {
+func (r CloseReason) RequiresAnswers() bool {
 	switch r {
 	case ClosedByClient, ClosedTerminate, ClosedCancelRequest, ClosedNotReading, ClosedEngineFailure:
 		return false
--- a/internal/lifecycle/decision.go
+++ b/internal/lifecycle/decision.go
@@ -7,7 +7,7 @@
 const (
 	Allowed            Reason = iota
 	NotReady                  // no complete endpoint list has been received
-	ProcessCutting            // the process is giving the final answers or is about to exit
+	ProcessTerminating        // the process is giving the final answers or is about to exit
 	ClientDisconnected        // the client has closed its connection or cancelled the request
 	TimeIsUp                  // the deadline has passed
 	HostNotEligible           // since it was chosen, the host began to drain, was removed, lost the role or fell behind
@@ -51,8 +51,8 @@
 	switch {
 	case f.ClientDisconnected:
 		return Decision{ClientDisconnected}
-	case f.Phase >= Cutting:
-		return Decision{ProcessCutting}
+	case f.Phase >= Terminating:
+		return Decision{ProcessTerminating}
 	case !f.Ready:
 		return Decision{NotReady}
 	}
@@ -72,8 +72,8 @@
 // MaySend decides whether an attempt that was chosen may be written to its host.
 func MaySend(f SendFacts) Decision {
 	switch {
-	case f.Phase >= Cutting:
-		return Decision{ProcessCutting}
+	case f.Phase >= Terminating:
+		return Decision{ProcessTerminating}
 	case f.ClientDisconnected:
 		return Decision{ClientDisconnected}
 	case f.Deadline-f.Now <= 0:
@@ -94,8 +94,8 @@
 // MayRetry decides whether routing may be asked for a further attempt.
 func MayRetry(f RetryFacts) Decision {
 	switch {
-	case f.Phase >= Cutting:
-		return Decision{ProcessCutting}
+	case f.Phase >= Terminating:
+		return Decision{ProcessTerminating}
 	case f.ClientDisconnected:
 		return Decision{ClientDisconnected}
 	}
--- a/internal/lifecycle/lifecycle_test.go
+++ b/internal/lifecycle/lifecycle_test.go
@@ -8,13 +8,13 @@
 
 // For each phase and event: the process never goes back to an earlier phase, whatever the order of events.
 func TestPhasesOnlyGoForward(t *testing.T) {
-	events := []PhaseEvent{EndpointListReceived, DrainStarted, CutStarted, ProcessExiting}
+	events := []PhaseEvent{EndpointListReceived, DrainStarted, TerminationStarted, ProcessExiting}
 	want := map[Phase][4]Phase{
-		Starting: {Ready, Draining, Cutting, Ended},
-		Ready:    {Ready, Draining, Cutting, Ended},
-		Draining: {Draining, Draining, Cutting, Ended},
-		Cutting:  {Cutting, Cutting, Cutting, Ended},
-		Ended:    {Ended, Ended, Ended, Ended},
+		Starting:    {Ready, Draining, Terminating, Ended},
+		Ready:       {Ready, Draining, Terminating, Ended},
+		Draining:    {Draining, Draining, Terminating, Ended},
+		Terminating: {Terminating, Terminating, Terminating, Ended},
+		Ended:       {Ended, Ended, Ended, Ended},
 	}
 	for phase, row := range want {
 		for i, e := range events {
@@ -24,11 +24,11 @@
 }
 
 func TestMayStart(t *testing.T) {
-	for phase, want := range map[Phase]Reason{Starting: Allowed, Ready: Allowed, Draining: Allowed, Cutting: ProcessCutting, Ended: ProcessCutting} {
+	for phase, want := range map[Phase]Reason{Starting: Allowed, Ready: Allowed, Draining: Allowed, Terminating: ProcessTerminating, Ended: ProcessTerminating} {
 		require.Equal(t, want, MayStart(StartFacts{Phase: phase, Ready: true}).Reason, phase.String())
 		require.Equal(t, ClientDisconnected, MayStart(StartFacts{Phase: phase, Ready: true, ClientDisconnected: true}).Reason, phase.String())
 	}
-	for phase, want := range map[Phase]Reason{Starting: NotReady, Draining: NotReady, Cutting: ProcessCutting} {
+	for phase, want := range map[Phase]Reason{Starting: NotReady, Draining: NotReady, Terminating: ProcessTerminating} {
 		require.Equal(t, want, MayStart(StartFacts{Phase: phase}).Reason, phase.String())
 	}
 }
@@ -38,7 +38,7 @@
 	valid := SendFacts{Phase: Ready, Now: 1000, Deadline: 1001, Eligible: true}
 	require.True(t, MaySend(valid).OK())
 	for reason, change := range map[Reason]func(*SendFacts){
-		ProcessCutting:     func(f *SendFacts) { f.Phase = Cutting },
+		ProcessTerminating: func(f *SendFacts) { f.Phase = Terminating },
 		ClientDisconnected: func(f *SendFacts) { f.ClientDisconnected = true },
 		TimeIsUp:           func(f *SendFacts) { f.Deadline = f.Now },
 		HostNotEligible:    func(f *SendFacts) { f.Eligible = false },
@@ -52,7 +52,7 @@
 func TestMayRetry(t *testing.T) {
 	require.True(t, MayRetry(RetryFacts{Phase: Draining}).OK())
 	require.Equal(t, ClientDisconnected, MayRetry(RetryFacts{Phase: Ready, ClientDisconnected: true}).Reason)
-	require.Equal(t, ProcessCutting, MayRetry(RetryFacts{Phase: Cutting, ClientDisconnected: true}).Reason)
+	require.Equal(t, ProcessTerminating, MayRetry(RetryFacts{Phase: Terminating, ClientDisconnected: true}).Reason)
 }
 
 func TestMayClose(t *testing.T) {
@@ -73,10 +73,10 @@
 	valid := Written{At: 10_000, TimeoutMillis: 400, ClientDeadline: 10_400}
 	require.Empty(t, CheckWritten(valid))
 	for rule, change := range map[Rule]func(w *Written, past float64){
-		AttemptAfterDisconnect: func(w *Written, past float64) { w.DisconnectedAt = w.At - DisconnectGraceMillis - past },
-		AttemptAfterCut:        func(w *Written, past float64) { w.CutAt = w.At - StallGraceMillis - past },
-		AttemptToDraining:      func(w *Written, past float64) { w.InactiveSince = w.At - StallGraceMillis - past },
-		DeadlineExceeded:       func(w *Written, past float64) { w.TimeoutMillis += StallGraceMillis + past },
+		AttemptAfterDisconnect:  func(w *Written, past float64) { w.DisconnectedAt = w.At - DisconnectGraceMillis - past },
+		AttemptAfterTermination: func(w *Written, past float64) { w.TerminatedAt = w.At - StallGraceMillis - past },
+		AttemptToDraining:       func(w *Written, past float64) { w.InactiveSince = w.At - StallGraceMillis - past },
+		DeadlineExceeded:        func(w *Written, past float64) { w.TimeoutMillis += StallGraceMillis + past },
 	} {
 		atBound, pastBound := valid, valid
 		change(&atBound, 0)
--- a/internal/lifecycle/phase.go
+++ b/internal/lifecycle/phase.go
@@ -5,11 +5,11 @@
 
 // The phases of a process, in their order.
 const (
-	Starting Phase = iota // no complete endpoint list has been received: nothing can be served
-	Ready                 // requests are served
-	Draining              // client connections are closed between requests; new requests are still served
-	Cutting               // each open request gets its final answer now; nothing more is sent to a host
-	Ended                 // the process is about to exit
+	Starting    Phase = iota // no complete endpoint list has been received: nothing can be served
+	Ready                    // requests are served
+	Draining                 // client connections are closed between requests; new requests are still served
+	Terminating              // each open request gets its final answer now; nothing more is sent to a host
+	Ended                    // the process is about to exit
 )
 
 var phaseNames = [...]string{"starting", "ready", "draining", "cutting", "ended"}
@@ -29,7 +29,7 @@
 const (
 	EndpointListReceived PhaseEvent = iota // a complete endpoint list has been received
 	DrainStarted                           // the shutdown has begun to close client connections between requests
-	CutStarted                             // the time for open requests to finish is over
+	TerminationStarted                     // the time for open requests to finish is over
 	ProcessExiting                         // the time to write the final answers is over
 )
 
@@ -42,8 +42,8 @@
 		to = Ready
 	case DrainStarted:
 		to = Draining
-	case CutStarted:
-		to = Cutting
+	case TerminationStarted:
+		to = Terminating
 	case ProcessExiting:
 		to = Ended
 	}
--- a/internal/lifecycle/rule.go
+++ b/internal/lifecycle/rule.go
@@ -5,22 +5,22 @@
 
 // The rules. Each comment says what breaks the rule.
 const (
-	AttemptAfterDisconnect Rule = iota // an attempt was written over DisconnectGraceMillis after its client disconnected
-	AttemptAfterCut                    // an attempt was written after the process gave the final answers
-	AttemptToDraining                  // an attempt was written to a host that was already draining or removed
-	DeadlineExceeded                   // a host was given a timeout that ends after the client's deadline
-	RetryNotIdempotent                 // a request that must run at most once was written again though it may have run
-	RetryOutsideWindow                 // a request was written again after hosts had stopped discarding repeats
-	AnsweredTwice                      // a second final answer was written for a request
-	ClosedWithoutAnswer                // a connection was closed while a request that had been read had no answer
-	ClosedWithUnreadBytes              // a connection was closed while it held unread bytes
-	AnswerLate                         // a final answer was written later than LateGraceMillis after the request's deadline
-	StartedUnready                     // a request started before a complete endpoint list was received
-	StaleRead                          // a read was answered from data older than its class or its session permits
-	BoundExceeded                      // more was retained than the limits allow
-	RejectedAfterRun                   // routing rejected a request that may have run; its client was told that it failed
-	RepeatAfterRun                     // routing chose another attempt for a request that may have run; it was not made
-	SlowStartOverrun                   // this process sent a warming host more than slow start permits
+	AttemptAfterDisconnect  Rule = iota // an attempt was written over DisconnectGraceMillis after its client disconnected
+	AttemptAfterTermination             // an attempt was written after the process gave the final answers
+	AttemptToDraining                   // an attempt was written to a host that was already draining or removed
+	DeadlineExceeded                    // a host was given a timeout that ends after the client's deadline
+	RetryNotIdempotent                  // a request that must run at most once was written again though it may have run
+	RetryOutsideWindow                  // a request was written again after hosts had stopped discarding repeats
+	AnsweredTwice                       // a second final answer was written for a request
+	ClosedWithoutAnswer                 // a connection was closed while a request that had been read had no answer
+	ClosedWithUnreadBytes               // a connection was closed while it held unread bytes
+	AnswerLate                          // a final answer was written later than LateGraceMillis after the request's deadline
+	StartedUnready                      // a request started before a complete endpoint list was received
+	StaleRead                           // a read was answered from data older than its class or its session permits
+	BoundExceeded                       // more was retained than the limits allow
+	RejectedAfterRun                    // routing rejected a request that may have run; its client was told that it failed
+	RepeatAfterRun                      // routing chose another attempt for a request that may have run; it was not made
+	SlowStartOverrun                    // this process sent a warming host more than slow start permits
 	ruleCount
 )
 
@@ -55,7 +55,7 @@
 	TimeoutMillis  float64 // timeout that the host was given
 	ClientDeadline float64 // until when the client waits
 	DisconnectedAt float64 // when the end of the client's stream was read; 0: it was not
-	CutAt          float64 // when the process began to give the final answers; 0: it has not
+	TerminatedAt   float64 // when the process began to give the final answers; 0: it has not
 	InactiveSince  float64 // since when the host is known to drain or to be removed; 0: it is active
 }
 
@@ -64,8 +64,8 @@
 	if w.DisconnectedAt > 0 && w.At > w.DisconnectedAt+DisconnectGraceMillis {
 		broken = append(broken, AttemptAfterDisconnect)
 	}
-	if w.CutAt > 0 && w.At > w.CutAt+StallGraceMillis {
-		broken = append(broken, AttemptAfterCut)
+	if w.TerminatedAt > 0 && w.At > w.TerminatedAt+StallGraceMillis {
+		broken = append(broken, AttemptAfterTermination)
 	}
 	if w.InactiveSince > 0 && w.At > w.InactiveSince+StallGraceMillis {
 		broken = append(broken, AttemptToDraining)
--- a/internal/lifecycle/shutdown.go
+++ b/internal/lifecycle/shutdown.go
@@ -27,10 +27,10 @@
 // time that the platform grants. A request that was accepted before DrainAt can still be answered until
 // CutAt: the time between the two is at least the longest deadline, or drainTime if that is shorter.
 type ShutdownSchedule struct {
-	DrainAt time.Duration // client connections are closed between requests; until then they are served as usual
-	CutAt   time.Duration // each open request gets its final answer
-	ExitAt  time.Duration // the process ends
-	KillAt  time.Duration // the earliest SIGKILL
+	DrainAt     time.Duration // client connections are closed between requests; until then they are served as usual
+	TerminateAt time.Duration // each open request gets its final answer
+	ExitAt      time.Duration // the process ends
+	KillAt      time.Duration // the earliest SIGKILL
 }
 
 // NewShutdownSchedule returns the schedule for the longest deadline of all classes.
@@ -38,10 +38,10 @@
 	killAt := min(longestDeadline, MaxKillDeadline) + KillSlack
 	cutAt := killAt - killMargin
 	return ShutdownSchedule{
-		DrainAt: max(newConnectionsEnd, cutAt-drainTime),
-		CutAt:   cutAt,
-		ExitAt:  cutAt + flushTime,
-		KillAt:  killAt,
+		DrainAt:     max(newConnectionsEnd, cutAt-drainTime),
+		TerminateAt: cutAt,
+		ExitAt:      cutAt + flushTime,
+		KillAt:      killAt,
 	}
 }
 
--- a/internal/lifecycle/shutdown_test.go
+++ b/internal/lifecycle/shutdown_test.go
@@ -16,10 +16,10 @@
 		grantedDeadline := min(deadline, 3*time.Second)
 		require.Equal(t, grantedDeadline+700*time.Millisecond, s.KillAt)
 		require.GreaterOrEqual(t, s.DrainAt, 450*time.Millisecond, deadline.String())
-		require.Less(t, s.DrainAt, s.CutAt, deadline.String())
-		require.Less(t, s.CutAt, s.ExitAt, deadline.String())
+		require.Less(t, s.DrainAt, s.TerminateAt, deadline.String())
+		require.Less(t, s.TerminateAt, s.ExitAt, deadline.String())
 		require.LessOrEqual(t, s.ExitAt, s.KillAt-100*time.Millisecond, deadline.String())
-		require.GreaterOrEqual(t, s.CutAt-s.DrainAt, min(deadline, 750*time.Millisecond), deadline.String())
+		require.GreaterOrEqual(t, s.TerminateAt-s.DrainAt, min(deadline, 750*time.Millisecond), deadline.String())
 	}
 }
 
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -107,7 +107,7 @@
 // Violation counts a rule that did not hold, and logs it with attributes that tell the case: request, connection, host, attempt.
 // The process goes on.
 func (m *Metrics) Violation(rule lifecycle.Rule, attributes ...any) {
-	if faulthook.Active(faulthook.CountNothing) {
+	if faulthook.Active(faulthook.SuppressViolations) {
 		return
 	}
 	m.violations[rule].Inc()
--- a/internal/net/flight/front.go
+++ b/internal/net/flight/front.go
@@ -80,7 +80,7 @@
 // twice.
 func (f *Front) query(text string, transaction []byte) (sqlcomment.Statement, error) {
 	s, err := f.parse(text, transaction)
-	if err == nil && f.edge.Writes(s.Class) {
+	if err == nil && f.edge.IsWrite(s.Class) {
 		err = invalid("class " + s.Class + " writes: use CommandStatementUpdate")
 	}
 	return s, err
@@ -137,7 +137,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if !f.edge.Writes(s.Class) {
+	if !f.edge.IsWrite(s.Class) {
 		return 0, invalid("class " + s.Class + " only reads: use CommandStatementQuery")
 	}
 	a, err := f.run(ctx, &s)
--- a/internal/net/flight/hosts.go
+++ b/internal/net/flight/hosts.go
@@ -209,7 +209,7 @@
 func (c *conn) Exchange(ctx context.Context, s *sqlcomment.Statement, gate edge.Gate) edge.Reply {
 	wait, ok := gate()
 	if !ok {
-		return edge.NotSent()
+		return edge.NotSentReply()
 	}
 	text := string(s.AppendWithTimeout(make([]byte, 0, len(s.Text)+8), wait))
 	if s.IsWrite {
@@ -260,7 +260,7 @@
 		return failedReply(errUnexpectedAnswer, nil, exchangeFacts{})
 	}
 	if _, ok := gate(); !ok {
-		return edge.NotSent()
+		return edge.NotSentReply()
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel() // a stream that is not read to its end is given up
@@ -289,9 +289,9 @@
 	defer cancel()
 	stream, err := c.client.DoPut(withSingleStream(ctx))
 	if ctx.Err() != nil {
-		return edge.NotSent()
+		return edge.NotSentReply()
 	} else if err != nil { // the stream did not open, and the statement is not yet written
-		return edge.NotBegun(dispatch.NoConnection, err.Error())
+		return edge.NotBegunReply(dispatch.NoConnection, err.Error())
 	}
 	// From here on the host may have it, whatever an error says of the connection.
 	_ = stream.Send(&flight.FlightData{FlightDescriptor: d}) // its error comes from Recv, with the status
--- a/internal/net/pg/command.go
+++ b/internal/net/pg/command.go
@@ -17,7 +17,7 @@
 	Query                                // a simple query; Text holds it
 	Sync                                 // the end of a batch of extended-protocol messages
 	Extended                             // the first extended-protocol message of a batch
-	Function                             // a function call
+	FunctionCall                         // a function call
 	Ignored                              // a message that needs no answer
 	Terminate                            // the client closes the connection
 	Malformed                            // a protocol error after which the stream can't be parsed; Text holds the reason
@@ -26,11 +26,11 @@
 
 // Command is one message of a client.
 type Command struct {
-	Kind  CommandKind
-	Text  string
-	Used  int    // number of bytes that the message took in the input
-	Minor bool   // for Startup: the client asked for a newer minor version
-	Key   uint64 // for Cancel: the key of the connection whose query is to be canceled; 0 if the request is malformed
+	Kind       CommandKind
+	Text       string
+	Size       int    // number of bytes that the message took in the input
+	NewerMinor bool   // for Startup: the client asked for a newer minor version
+	Key        uint64 // for Cancel: the key of the connection whose query is to be canceled; 0 if the request is malformed
 }
 
 // Parser splits a client's byte stream into commands. The front uses it on live connections, the replay on
@@ -52,7 +52,7 @@
 	if !ok {
 		return Command{}
 	}
-	c := Command{Kind: Ignored, Used: len(b) - len(rest)}
+	c := Command{Kind: Ignored, Size: len(b) - len(rest)}
 	switch kind {
 	case clientTerminate:
 		c.Kind = Terminate
@@ -65,7 +65,7 @@
 		}
 	case clientFunctionCall:
 		if !p.skipUntilSync {
-			c.Kind = Function
+			c.Kind = FunctionCall
 		}
 	case clientQuery:
 		switch {
@@ -92,9 +92,9 @@
 	case len(b) < size:
 		return Command{}
 	case code == codeSSL || code == codeGSS:
-		return Command{Kind: EncryptionRequest, Used: size}
+		return Command{Kind: EncryptionRequest, Size: size}
 	case code == codeCancel:
-		c := Command{Kind: Cancel, Used: size}
+		c := Command{Kind: Cancel, Size: size}
 		if size == cancelRequestBytes {
 			c.Key = binary.BigEndian.Uint64(b[startupHeaderBytes:])
 		}
@@ -103,7 +103,7 @@
 		return Command{Kind: Malformed, Text: "protocol version 3 is spoken here"}
 	}
 	p.started = true
-	return Command{Kind: Startup, Used: size, Minor: code != protocolVersion3}
+	return Command{Kind: Startup, Size: size, NewerMinor: code != protocolVersion3}
 }
 
 // readAhead scans the bytes that a client sent after a request that is not answered yet.
--- a/internal/net/pg/command_queue.go
+++ b/internal/net/pg/command_queue.go
@@ -31,8 +31,8 @@
 // no room for another run.
 func (q *commandQueue) push(c Command, limit int) bool {
 	next := queuedCommand{Command: c, count: 1}
-	if q.bytes+c.Used <= limit {
-		next.bytes = c.Used
+	if q.bytes+c.Size <= limit {
+		next.bytes = c.Size
 	} else if c.Kind == Query {
 		next.rejected, next.Text = true, ""
 	}
@@ -78,7 +78,7 @@
 	c.count = 1
 	if first.count > 1 {
 		first.count--
-		c.bytes = min(first.bytes, first.Used)
+		c.bytes = min(first.bytes, first.Size)
 		first.bytes -= c.bytes
 		q.bytes -= c.bytes
 		return c, true
--- a/internal/net/pg/command_queue_test.go
+++ b/internal/net/pg/command_queue_test.go
@@ -42,11 +42,11 @@
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
 				text := fmt.Sprint("q", i)
-				require.True(t, q.push(Command{Kind: Query, Text: text, Used: rapid.IntRange(6, 400).Draw(t, "size")}, limit))
+				require.True(t, q.push(Command{Kind: Query, Text: text, Size: rapid.IntRange(6, 400).Draw(t, "size")}, limit))
 				want = append(want, fmt.Sprint(Query)+" "+text)
 			case 1:
-				kind := rapid.SampledFrom([]CommandKind{Sync, Extended, Function}).Draw(t, "kind")
-				require.True(t, q.push(Command{Kind: kind, Used: 5}, limit))
+				kind := rapid.SampledFrom([]CommandKind{Sync, Extended, FunctionCall}).Draw(t, "kind")
+				require.True(t, q.push(Command{Kind: kind, Size: 5}, limit))
 				want = append(want, fmt.Sprint(kind))
 			case 2:
 				before := q.bytes
@@ -73,10 +73,10 @@
 func TestCommandQueueBoundsItsRuns(t *testing.T) {
 	var q commandQueue
 	for i := range maxQueuedRuns {
-		require.True(t, q.push(Command{Kind: []CommandKind{Sync, Extended}[i%2], Used: 5}, 1<<20))
+		require.True(t, q.push(Command{Kind: []CommandKind{Sync, Extended}[i%2], Size: 5}, 1<<20))
 	}
-	require.False(t, q.push(Command{Kind: Sync, Used: 5}, 1<<20))
-	require.True(t, q.push(Command{Kind: Extended, Used: 5}, 1<<20), "it is like the last one")
+	require.False(t, q.push(Command{Kind: Sync, Size: 5}, 1<<20))
+	require.True(t, q.push(Command{Kind: Extended, Size: 5}, 1<<20), "it is like the last one")
 	q.end(Command{Kind: Overloaded})
-	require.Equal(t, maxQueuedRuns+2, q.commands())
+	require.Equal(t, maxQueuedRuns+2, q.commandCount())
 }
--- a/internal/net/pg/dial_test.go
+++ b/internal/net/pg/dial_test.go
@@ -16,9 +16,9 @@
 	"ashstand/internal/edge"
 )
 
-// settled waits until the pool has exactly the given number of connections, all idle, and checks that no
+// requireIdle waits until the pool has exactly the given number of connections, all idle, and checks that no
 // unread bytes are counted. It finds connections that are counted twice or leaked.
-func (r *rig) settled(t *testing.T, idle int) {
+func (r *poolFixture) requireIdle(t *testing.T, idle int) {
 	t.Helper()
 	counts := func() (open, idleCount int) {
 		r.mu.Lock()
@@ -29,11 +29,11 @@
 		return r.openConns, idleCount
 	}
 	require.Eventually(t, func() bool { open, lie := counts(); return open == idle && lie == idle }, 20*time.Second, time.Millisecond)
-	require.Zero(t, r.held(t), "bytes of answers that are counted, with none under way")
+	require.Zero(t, r.countUnread(t), "bytes of answers that are counted, with none under way")
 }
 
-// held returns the pool's unreadBytes, read on the event loop.
-func (r *rig) held(t *testing.T) int {
+// countUnread returns the pool's unreadBytes, read on the event loop.
+func (r *poolFixture) countUnread(t *testing.T) int {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
@@ -58,13 +58,13 @@
 func answerAfter(up <-chan struct{}) func(net.Conn, *pgproto3.Backend) {
 	return func(c net.Conn, b *pgproto3.Backend) {
 		<-up
-		good(c, b)
+		answerQueries(c, b)
 	}
 }
 
 // dialAndAbandon starts a dial, abandons its attempt once the host has accepted the connection, and waits for
 // Acquire to return.
-func (r *rig) dialAndAbandon(t *testing.T) {
+func (r *poolFixture) dialAndAbandon(t *testing.T) {
 	ctx, giveUp := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() {
@@ -87,10 +87,10 @@
 	require.Equal(t, 1, r.openConns, "it goes on, and holds its place")
 	r.mu.Unlock()
 	close(up)
-	r.settled(t, 1)
+	r.requireIdle(t, 1)
 	require.Equal(t, dispatch.OK, r.exchange(t, open).Code)
 	require.Empty(t, r.conns, "the host was not asked for another")
-	r.settled(t, 1)
+	r.requireIdle(t, 1)
 }
 
 // The other order: the connection is ready before the attempt is abandoned, and the attempt gets it.
@@ -103,7 +103,7 @@
 	require.NoError(t, err)
 	giveUp()
 	c.(*conn).release()
-	r.settled(t, 1)
+	r.requireIdle(t, 1)
 }
 
 // Only one abandoned dial per host continues. Otherwise a host that never gets ready would use up the
@@ -130,7 +130,7 @@
 	c := <-got
 	require.Eventually(t, func() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.openConns == 1 }, 20*time.Second, time.Millisecond)
 	c.(*conn).release()
-	r.settled(t, 1)
+	r.requireIdle(t, 1)
 }
 
 // A connection that is not ready within the connect timeout is dropped, even if its attempt was abandoned,
@@ -138,7 +138,7 @@
 func TestAbandonedDialTimesOut(t *testing.T) {
 	r := start(t, func(net.Conn, *pgproto3.Backend) {})
 	r.dialAndAbandon(t)
-	r.settled(t, 0)
+	r.requireIdle(t, 0)
 }
 
 // A host changes its address, is removed or begins to drain while it is dialled. Nothing more is sent to the
@@ -147,12 +147,12 @@
 func TestHostChangesDuringDial(t *testing.T) {
 	for _, test := range []struct {
 		name  string
-		event func(r *rig, other string, drains *atomic.Bool)
+		event func(r *poolFixture, other string, drains *atomic.Bool)
 		want  error
 	}{
-		{"moves", func(r *rig, other string, _ *atomic.Bool) { r.SetAddress("h", other) }, nil},
-		{"leaves", func(r *rig, _ string, _ *atomic.Bool) { r.SetAddress("h", "") }, errUnknownHost},
-		{"drains", func(_ *rig, _ string, drains *atomic.Bool) { drains.Store(true) }, edge.ErrUnlisted},
+		{"moves", func(r *poolFixture, other string, _ *atomic.Bool) { r.SetAddress("h", other) }, nil},
+		{"leaves", func(r *poolFixture, _ string, _ *atomic.Bool) { r.SetAddress("h", "") }, errUnknownHost},
+		{"drains", func(_ *poolFixture, _ string, drains *atomic.Bool) { drains.Store(true) }, edge.ErrUnlisted},
 	} {
 		for _, duringHandshake := range []bool{false, true} {
 			up, startups := make(chan struct{}), make(chan struct{}, 1)
@@ -168,7 +168,7 @@
 				_, _ = b.Receive()
 			})
 			r.SetLimits(PoolLimits{Connections: 4, ConnectTimeout: 20 * time.Second, IdleTimeout: 15 * time.Second})
-			other := start(t, good)
+			other := start(t, answerQueries)
 			address := other.hosts["h"].address
 			var drains atomic.Bool
 			var listedCalls atomic.Int32
@@ -196,13 +196,13 @@
 			require.Empty(t, startups, "%s: it was greeted all the same", test.name)
 			if test.want != nil {
 				require.ErrorIs(t, g.err, test.want, test.name)
-				r.settled(t, 0)
+				r.requireIdle(t, 0)
 				continue
 			}
 			require.NoError(t, g.err)
 			require.Len(t, other.conns, 1, "it is dialled where it is now")
 			g.conn.(*conn).release()
-			r.settled(t, 1)
+			r.requireIdle(t, 1)
 		}
 	}
 }
@@ -212,7 +212,7 @@
 func TestIdleConnectionIsEvictedBeforeDial(t *testing.T) {
 	closed := make(chan struct{})
 	r := start(t, func(c net.Conn, b *pgproto3.Backend) {
-		good(c, b)
+		answerQueries(c, b)
 		close(closed)
 	})
 	up := make(chan struct{})
@@ -232,7 +232,7 @@
 	}
 	close(up)
 	(<-got).(*conn).release()
-	r.settled(t, 1)
+	r.requireIdle(t, 1)
 }
 
 // A host closes each connection as soon as it has accepted it. The event loop may see the end before the
@@ -250,14 +250,14 @@
 			require.Error(t, err)
 			require.NotErrorIs(t, err, edge.ErrPoolExhausted, "a place was not given back")
 		}
-		r.settled(t, 0)
+		r.requireIdle(t, 0)
 	}
 }
 
 // The event loop has stopped and does not register the dialled connection: the count of open connections
 // returns to zero, and is not decremented twice.
 func TestDialNotRegisteredByEventLoop(t *testing.T) {
-	r := start(t, good)
+	r := start(t, answerQueries)
 	r.engine.Stop()
 	for range 8 {
 		_, err := r.Acquire(context.Background(), "h")
@@ -284,14 +284,14 @@
 	} {
 		conns := make(chan net.Conn, 4)
 		r := start(t, func(c net.Conn, b *pgproto3.Backend) {
-			welcome(b)
+			completeHandshake(b)
 			_, _ = b.Receive()
-			_, _ = c.Write(whole())
+			_, _ = c.Write(completeResponse())
 			conns <- c
 			_, _ = b.Receive()
 			if !test.endBeforeWrite {
 				if test.partialMessage {
-					_, _ = c.Write(whole()[:9])
+					_, _ = c.Write(completeResponse()[:9])
 				}
 				c.Close()
 			}
@@ -304,7 +304,7 @@
 		reply := r.exchange(t, func() (float64, bool) {
 			if test.endBeforeWrite {
 				if test.partialMessage {
-					_, _ = c.Write(whole()[:9])
+					_, _ = c.Write(completeResponse()[:9])
 				}
 				c.Close()
 				require.Eventually(t, func() bool { return hasUnreadEvent(idleConn.gnetConn) }, 20*time.Second, time.Millisecond)
@@ -313,7 +313,7 @@
 		})
 		require.Equal(t, test.want, reply.Code, test.name)
 		require.Zero(t, reply.Position, test.name)
-		r.settled(t, 0)
+		r.requireIdle(t, 0)
 	}
 }
 
@@ -322,7 +322,7 @@
 // connection is not used. Each connection is counted once, and not at all in the end. The event loop is
 // blocked from the start of the dial until the event has come, so that nothing can be written before.
 func TestHostChangesDuringSessionDial(t *testing.T) {
-	w := pool(t, nil)
+	w := startPooler(t, nil)
 	w.connect("")
 	for _, test := range []struct {
 		name  string
@@ -330,13 +330,13 @@
 	}{
 		{"moves", func(string) { w.front.SetAddress("a", "127.0.0.1:1") }},
 		{"leaves", func(string) { w.front.SetAddress("a", "") }},
-		{"drains", func(string) { w.members("a") }},
+		{"drains", func(string) { w.updateEndpoints("a") }},
 	} {
 		for _, duringHandshake := range []bool{false, true} {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
 			defer l.Close()
-			w.members()
+			w.updateEndpoints()
 			w.front.SetAddress("a", l.Addr().String())
 			conns := make(chan net.Conn, 1)
 			var p *serverPool
--- a/internal/net/pg/differ_test.go
+++ b/internal/net/pg/differ_test.go
@@ -128,7 +128,7 @@
 // errors of any failed transaction, which has no savepoints. All of these map to 25P02, so that both sides
 // compare as equal.
 func code(err error) string {
-	switch s := state(err); s {
+	switch s := sqlStateOf(err); s {
 	case "40001", "3B001", "42601": // nor is SQL parsed where there is no server
 		return "25P02"
 	default:
@@ -148,7 +148,7 @@
 
 // compareSessions runs a script with clients of the pooler, which share its server connections, and with
 // clients that have a server connection each. It returns the first difference in what they see, or "".
-func compareSessions(t require.TestingT, w *pooled, direct *lab.Host, steps []step, run int) (difference string) {
+func compareSessions(t require.TestingT, w *poolerFixture, direct *lab.Host, steps []step, run int) (difference string) {
 	const clients = 4
 	var pooledConns, directConns [clients]*pgconn.PgConn
 	for i := range clients {
@@ -234,7 +234,7 @@
 }
 
 func TestPooledSessionsMatchDirectConnections(t *testing.T) {
-	w := pool(t, func(l *SessionLimits) {
+	w := startPooler(t, func(l *SessionLimits) {
 		l.Pools[0].Sizes.MaxConnections = 4 // four transactions may be open at once
 		l.Pools[0].MaxPreparedStatements = 3
 		l.Pools[0].MaxSticky = 4
@@ -260,17 +260,17 @@
 	})
 	// Check that the comparison can fail: with a guarantee switched off, a script that needs it shows a
 	// difference. There is a single server connection, so that both clients use the same one.
-	w = pool(t, func(l *SessionLimits) { l.Pools[0].Sizes.MaxConnections = 1 })
+	w = startPooler(t, func(l *SessionLimits) { l.Pools[0].Sizes.MaxConnections = 1 })
 	for guarantee, steps := range map[string][]step{
 		"settings":   {{0, "simple", "SET app.a TO 'mine'", ""}, {1, "simple", "SELECT current_setting('app.a', true)", ""}},
 		"statements": {{0, "prepare", "SELECT 'x', $1", "p"}, {}, {0, "run", "", "p"}},
 	} {
-		w.front.Break(guarantee)
+		w.front.DisableGuarantee(guarantee)
 		steps = append(steps, step{0, "cut", "", ""})
 		if guarantee == "statements" {
 			steps[1] = step{0, "cut", "", ""}
 		}
 		require.NotEmpty(t, compareSessions(t, w, direct, steps, -1), guarantee)
-		w.front.Break("")
+		w.front.DisableGuarantee("")
 	}
 }
--- a/internal/net/pg/execution_test.go
+++ b/internal/net/pg/execution_test.go
@@ -56,7 +56,7 @@
 	} {
 		t.Run(testCase.name, func(t *testing.T) {
 			r := start(t, func(c net.Conn, b *pgproto3.Backend) {
-				welcome(b)
+				completeHandshake(b)
 				_, _ = b.Receive()
 				for _, m := range testCase.replies {
 					b.Send(m)
@@ -86,7 +86,7 @@
 
 // A request that is abandoned before the event loop has written it was never begun, whatever happens later.
 func TestRequestAbandonedBeforeWriteIsNotBegun(t *testing.T) {
-	r := start(t, good)
+	r := start(t, answerQueries)
 	ctx, abandon := context.WithCancel(context.Background())
 	c, err := r.Acquire(ctx, "h")
 	require.NoError(t, err)
@@ -99,7 +99,7 @@
 	<-loopBlocked
 	gateCalls := make(chan struct{}, 1)
 	replies := make(chan edge.Reply, 1)
-	statement := parsedPlain(t)
+	statement := parsedPlainQuery(t)
 	go func() {
 		replies <- c.Exchange(ctx, statement, func() (float64, bool) {
 			gateCalls <- struct{}{}
--- a/internal/net/pg/flood_test.go
+++ b/internal/net/pg/flood_test.go
@@ -35,7 +35,7 @@
 }
 
 // onLoop calls do on the event loop for the only client, and waits for it.
-func (d *door) onLoop(t *testing.T, do func(h *client, c gnet.Conn)) {
+func (d *frontFixture) onLoop(t *testing.T, do func(h *client, c gnet.Conn)) {
 	done := make(chan struct{})
 	d.forEachClient(func(h *client, c gnet.Conn) {
 		do(h, c)
@@ -52,9 +52,9 @@
 // for each would block the event loop for all other clients. The commands wait in the client's ring buffer
 // until a single call of Traffic handles them all.
 func TestCommandsSentAheadAreAnsweredTogether(t *testing.T) {
-	d := listen(t, FrontLimits{Clients: 16, Bytes: 1 << 20, RetryAfterMillis: 300})
-	c := d.call(t, "")
-	require.Equal(t, []string{"empty"}, errorsOf(t, c, 1))
+	d := startFront(t, FrontLimits{MaxClients: 16, MaxUnreadBytes: 1 << 20, RetryAfterMillis: 300})
+	c := d.connect(t, "")
+	require.Equal(t, []string{"empty"}, readReplies(t, c, 1))
 	const n = 8000
 	d.onLoop(t, func(h *client, _ gnet.Conn) { h.requestInFlight = true }) // simulates a request in flight
 	var b []byte
@@ -83,9 +83,9 @@
 // A client that floods the front must delay only itself: measures another client's response times without and
 // during a flood.
 func TestFloodingClientDelaysOnlyItself(t *testing.T) {
-	d := listen(t, FrontLimits{Clients: 16, Bytes: 1 << 20, RetryAfterMillis: 300})
-	quiet := d.call(t, "")
-	require.Equal(t, []string{"empty"}, errorsOf(t, quiet, 1))
+	d := startFront(t, FrontLimits{MaxClients: 16, MaxUnreadBytes: 1 << 20, RetryAfterMillis: 300})
+	quiet := d.connect(t, "")
+	require.Equal(t, []string{"empty"}, readReplies(t, quiet, 1))
 	query := appendQuery(nil, func(b []byte) []byte { return b })
 	answer := make([]byte, 11)
 	measureLatencies := func() (latencies []time.Duration) {
@@ -101,8 +101,8 @@
 		return latencies
 	}
 	baseline := measureLatencies()
-	flood := d.call(t, "")
-	require.Equal(t, []string{"empty"}, errorsOf(t, flood, 1))
+	flood := d.connect(t, "")
+	require.Equal(t, []string{"empty"}, readReplies(t, flood, 1))
 	var b []byte
 	for len(b) < 64<<10 {
 		b = appendMessage(b, 'S', func(b []byte) []byte { return b })
@@ -130,9 +130,9 @@
 // Clients that send as much as they may and disconnect must leave nothing behind: no counted bytes, no
 // connection, no goroutine, and no open request.
 func TestDisconnectAfterFloodReleasesEverything(t *testing.T) {
-	d := listen(t, FrontLimits{Clients: 200, Bytes: 1 << 20, RetryAfterMillis: 300})
-	first := d.call(t, "")
-	require.Equal(t, []string{"empty"}, errorsOf(t, first, 1))
+	d := startFront(t, FrontLimits{MaxClients: 200, MaxUnreadBytes: 1 << 20, RetryAfterMillis: 300})
+	first := d.connect(t, "")
+	require.Equal(t, []string{"empty"}, readReplies(t, first, 1))
 	before := runtime.NumGoroutine()
 	request := appendQuery(nil, func(b []byte) []byte {
 		return append(b, "/* id=0,c=report,d=60000,cluster=1 */ SELECT payload"...)
@@ -165,7 +165,7 @@
 	case <-time.After(20 * time.Second):
 		t.Fatal("a request of a disconnected client is still open")
 	}
-	require.Equal(t, []string{"empty"}, errorsOf(t, d.call(t, ""), 1))
+	require.Equal(t, []string{"empty"}, readReplies(t, d.connect(t, ""), 1))
 }
 
 // An answer of a host that is invalid or never ends must be discarded as a whole: the role and the log position
@@ -197,13 +197,13 @@
 	} {
 		ended := make(chan struct{}, 16)
 		r := start(t, func(c net.Conn, b *pgproto3.Backend) {
-			for welcome(b); ; {
+			for completeHandshake(b); ; {
 				m, err := b.Receive()
 				if err != nil {
 					break
 				}
 				if q, ok := m.(*pgproto3.Query); ok && len(q.String) > 60 {
-					_, _ = c.Write(whole())
+					_, _ = c.Write(completeResponse())
 					continue
 				}
 				_, err = c.Write(test.first)
@@ -220,7 +220,7 @@
 		case <-time.After(20 * time.Second):
 			t.Fatal(test.name + ": the connection was not closed")
 		}
-		r.settled(t, 0)
+		r.requireIdle(t, 0)
 		require.Equal(t, dispatch.OK, r.send(t, "/* id=2,c=a,d=900,cluster=1 */ SELECT payload FROM entries WHERE ref = 'after'", open).Code, test.name)
 	}
 }
@@ -231,7 +231,7 @@
 	for _, malformedFirst := range []bool{true, false} {
 		sendMalformed, malformedSent := make(chan struct{}), make(chan struct{})
 		r := start(t, func(c net.Conn, b *pgproto3.Backend) {
-			welcome(b)
+			completeHandshake(b)
 			_, _ = b.Receive()
 			_, _ = c.Write(appendParameterStatus(nil, Platform.Position, "999999999000"))
 			<-sendMalformed
@@ -254,14 +254,14 @@
 			cancel()
 		} else {
 			want = dispatch.Cancelled
-			require.Eventually(t, func() bool { return r.held(t) > 0 }, 20*time.Second, time.Millisecond) // half of the answer has arrived
+			require.Eventually(t, func() bool { return r.countUnread(t) > 0 }, 20*time.Second, time.Millisecond) // half of the answer has arrived
 			cancel()
 			reply := <-replies
 			require.Equal(t, edge.Reply{Outcome: dispatch.Outcome{Code: want}, Detail: reply.Detail, WrittenAt: 1e12}, reply)
 			close(sendMalformed)
 			<-malformedSent
 		}
-		r.settled(t, 0)
+		r.requireIdle(t, 0)
 		require.Empty(t, replies)
 	}
 }
--- a/internal/net/pg/front.go
+++ b/internal/net/pg/front.go
@@ -58,9 +58,9 @@
 type FrontLimits struct {
 	// Clients is the maximum number of client connections. One eighth of them is reserved for connections that
 	// are rejected with an error because the rest is in use.
-	Clients int
-	// Bytes is the maximum size of the unprocessed input of all clients together.
-	Bytes int
+	MaxClients int
+	// MaxUnreadBytes is the maximum size of the unprocessed input of all clients together.
+	MaxUnreadBytes int
 	// RetryAfterMillis is the Retry-After sent with rejections; 0 sends none.
 	RetryAfterMillis float64
 }
@@ -103,11 +103,11 @@
 	}
 	f.lastNumber++
 	h := &client{front: f, number: f.lastNumber, lastActive: f.edge.Now()}
-	maxServed := f.limits.Load().Clients * 7 / 8
+	maxServed := f.limits.Load().MaxClients * 7 / 8
 	for len(f.clients) >= maxServed && f.evictLeastUseful(h.lastActive) {
 	}
 	hasRoom := len(f.clients) < maxServed
-	if !hasRoom && len(f.clients) >= f.limits.Load().Clients {
+	if !hasRoom && len(f.clients) >= f.limits.Load().MaxClients {
 		f.clientLimitLog.Printf("front: %d client connections are open, closing a new one", len(f.clients))
 		return nil, nil, f.rejectConnection()
 	}
@@ -116,7 +116,7 @@
 	h.cancelRequest = func() {} // replaced when a request starts
 	f.clients[h] = c
 	if f.terminating.Load() {
-		return h, nil, h.closeWithRejection(c, lifecycle.ClosedCutting, stateCannotConnectNow, textRestarting, "")
+		return h, nil, h.closeWithRejection(c, lifecycle.ClosedByShutdown, stateCannotConnectNow, textRestarting, "")
 	}
 	if hasRoom {
 		return h, nil, gnet.None
@@ -198,7 +198,7 @@
 // drains. It must be called every SweepInterval.
 func (f *Front) Sweep() {
 	now := f.edge.Now()
-	pressureThreshold := f.limits.Load().Clients / pressureFraction
+	pressureThreshold := f.limits.Load().MaxClients / pressureFraction
 	f.forEachClient(func(h *client, c gnet.Conn) {
 		idle := now - h.lastActive
 		switch {
@@ -226,7 +226,7 @@
 // message: it is disconnected after the answers that it is still owed. current is the client whose input is
 // being processed, and action applies to it.
 func (f *Front) enforceUnreadLimit(current *client) (action gnet.Action) {
-	for limit := f.limits.Load().Bytes; f.unreadBytes > limit; {
+	for limit := f.limits.Load().MaxUnreadBytes; f.unreadBytes > limit; {
 		largest := current
 		for h := range f.clients {
 			if h.unreadBytes > largest.unreadBytes {
@@ -263,7 +263,7 @@
 
 // readAheadLimit returns how many bytes of one client's commands may be queued.
 func (f *Front) readAheadLimit() int {
-	return max(maxUnreadBytes, f.limits.Load().Bytes/readAheadFraction)
+	return max(maxUnreadBytes, f.limits.Load().MaxUnreadBytes/readAheadFraction)
 }
 
 // cancel cancels the request in flight on the connection with this key. Its client gets an error, and the
--- a/internal/net/pg/front_client.go
+++ b/internal/net/pg/front_client.go
@@ -112,7 +112,7 @@
 		if command.Kind == Incomplete {
 			return b
 		}
-		b = b[command.Used:]
+		b = b[command.Size:]
 		switch command.Kind {
 		case Ignored:
 		case Terminate:
@@ -253,13 +253,13 @@
 	case Startup:
 		h.cancelKey = newCancelKey(h.number)
 		h.front.cancelKeys[h.cancelKey] = h
-		h.write(c, Greeting(h.cancelKey, command.Minor))
+		h.write(c, Greeting(h.cancelKey, command.NewerMinor))
 	case Sync:
 		h.write(c, appendReady(nil))
 	case Extended:
 		h.invalidRequests++
 		h.write(c, appendError(nil, severityError, sqlStateFeatureNotSupported, "simple queries only", ""))
-	case Function:
+	case FunctionCall:
 		h.invalidRequests++
 		h.write(c, appendReady(appendError(nil, severityError, sqlStateFeatureNotSupported, "simple queries only", "")))
 	case Query:
--- a/internal/net/pg/front_close.go
+++ b/internal/net/pg/front_close.go
@@ -127,7 +127,7 @@
 	}
 	if !h.closingWithError {
 		h.checkAnswered(h.closeReason)
-		if h.closeReason.OwesAnswers() && hasUnreadBytes(c) {
+		if h.closeReason.RequiresAnswers() && hasUnreadBytes(c) {
 			h.violation(lifecycle.ClosedWithUnreadBytes)
 		}
 	}
@@ -144,7 +144,7 @@
 // checkAnswered counts a violation if the connection is closed while one of its requests has no answer. No
 // answer is owed if the client has disconnected or does not read its answers.
 func (h *client) checkAnswered(reason lifecycle.CloseReason) {
-	if reason.OwesAnswers() && (h.requestInFlight || !h.queue.isEmpty()) {
+	if reason.RequiresAnswers() && (h.requestInFlight || !h.queue.isEmpty()) {
 		h.violation(lifecycle.ClosedWithoutAnswer)
 	}
 }
--- a/internal/net/pg/front_shutdown.go
+++ b/internal/net/pg/front_shutdown.go
@@ -49,28 +49,28 @@
 	return <-idle
 }
 
-// Cut answers every open request with a final error and admits no further ones, because the process is about to
+// CloseClients answers every open request with a final error and admits no further ones, because the process is about to
 // exit. Commands that a client sent ahead did not reach a host, so they are rejected; without an answer they
 // would be lost.
-func (f *Front) Cut() {
+func (f *Front) CloseClients() {
 	f.terminating.Store(true)
 	f.forEachClient(func(h *client, c gnet.Conn) {
 		if !h.closingWithError {
-			h.finishAction(c, h.cut(c))
+			h.finishAction(c, h.closeAtShutdown(c))
 		}
 	})
 }
 
-// cut answers each request of the client with an error; the error for the last one is fatal and ends the
+// closeAtShutdown answers each request of the client with an error; the error for the last one is fatal and ends the
 // connection. Commands that the client sent ahead did not reach a host, so they are rejected.
-func (h *client) cut(c gnet.Conn) gnet.Action {
+func (h *client) closeAtShutdown(c gnet.Conn) gnet.Action {
 	h.parse(readRemaining(c))
 	if h.requestInFlight {
 		isOwedAnswer := !h.answerWritten
 		h.requestInFlight, h.answerWritten = false, false
 		h.disconnect() // a later result of the request is not written
 		if isOwedAnswer && h.queue.isEmpty() {
-			return h.closeWithError(c, lifecycle.ClosedCutting, sqlStateAdminShutdown, textRestartingMayRun, "")
+			return h.closeWithError(c, lifecycle.ClosedByShutdown, sqlStateAdminShutdown, textRestartingMayRun, "")
 		}
 		if isOwedAnswer {
 			h.write(c, appendReady(appendError(nil, severityError, sqlStateAdminShutdown, textRestartingMayRun, "")))
@@ -83,13 +83,13 @@
 		}
 		h.answerAtShutdown(c, command.Kind)
 	}
-	return h.closeWithRejection(c, lifecycle.ClosedCutting, stateCannotConnectNow, textRestarting, "") // this also answers a request that may still be arriving
+	return h.closeWithRejection(c, lifecycle.ClosedByShutdown, stateCannotConnectNow, textRestarting, "") // this also answers a request that may still be arriving
 }
 
 // answerAtShutdown answers a queued command that will not be handled because the process exits.
 func (h *client) answerAtShutdown(c gnet.Conn, kind CommandKind) {
 	switch kind {
-	case Query, Function:
+	case Query, FunctionCall:
 		h.write(c, appendReady(encodeUntried(severityError, stateCannotConnectNow, textRestarting, "")))
 	case Extended:
 		h.write(c, encodeUntried(severityError, stateCannotConnectNow, textRestarting, ""))
--- a/internal/net/pg/golden_test.go
+++ b/internal/net/pg/golden_test.go
@@ -177,7 +177,7 @@
 // Compares every answer that the front in statement mode generates itself with the golden file.
 func TestGoldenFront(t *testing.T) {
 	s := &transcript{t: t}
-	d := listen(t, FrontLimits{Clients: 64, Bytes: 1 << 20, RetryAfterMillis: 300})
+	d := startFront(t, FrontLimits{MaxClients: 64, MaxUnreadBytes: 1 << 20, RetryAfterMillis: 300})
 	awaitInFlight := func(n int) {
 		require.Eventually(t, func() bool { return d.count(func(h *client) bool { return h.requestInFlight }) == n }, 10*time.Second, time.Millisecond)
 	}
@@ -231,15 +231,15 @@
 	idleClient := s.client(d.address).startSession().send(simpleQuery("")).readUntil("Z")
 	c = s.client(d.address).startSession().send(simpleQuery(goldenRequest), simpleQuery(goldenRequest))
 	awaitInFlight(1)
-	d.Cut()
+	d.CloseClients()
 	idleClient.readUntil("")
 	c.readUntil("")
 	s.client(d.address).readUntil("")
 	s.section("too many connections")
-	d = listen(t, FrontLimits{Clients: 1, Bytes: 1 << 20, RetryAfterMillis: 300})
+	d = startFront(t, FrontLimits{MaxClients: 1, MaxUnreadBytes: 1 << 20, RetryAfterMillis: 300})
 	s.client(d.address).readUntil("")
 	s.section("no list yet")
-	d.Front = NewFront(edge.New(dispatcherWithoutEndpoints(t), d.clock, nowhere{}), FrontLimits{Clients: 64, Bytes: 1 << 20})
+	d.Front = NewFront(edge.New(dispatcherWithoutEndpoints(t), d.clock, unreachableBackend{}), FrontLimits{MaxClients: 64, MaxUnreadBytes: 1 << 20})
 	s.client(startLoop(t, d.Accept)).startSession().send(simpleQuery(goldenRequest)).readUntil("Z")
 	s.section("results")
 	for _, r := range []edge.Result{
@@ -258,7 +258,7 @@
 
 // dispatcherWithoutEndpoints returns a dispatcher that has no endpoint list yet.
 func dispatcherWithoutEndpoints(t *testing.T) *dispatch.Dispatcher {
-	site, err := settings.Parse([]byte(poolSite))
+	site, err := settings.Parse([]byte(poolerSettings))
 	require.NoError(t, err)
 	f, err := dispatch.New(site, 1, clock.System(), nil, nil)
 	require.NoError(t, err)
@@ -286,7 +286,7 @@
 		_, _ = c.Write(appendReady(typedMessage('R', "\x00\x00\x00\x00")))
 		for b := readTyped(c); b != nil; b = readTyped(c) {
 			got <- b
-			_, _ = c.Write(whole())
+			_, _ = c.Write(completeResponse())
 		}
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
@@ -294,7 +294,7 @@
 	r.SetLimits(PoolLimits{Connections: 1, ConnectTimeout: 20 * time.Second, IdleTimeout: 15 * time.Second})
 	c, err := r.Acquire(ctx, "h")
 	require.NoError(t, err)
-	require.Equal(t, dispatch.OK, c.Exchange(ctx, parsedPlain(t), open).Code)
+	require.Equal(t, dispatch.OK, c.Exchange(ctx, parsedPlainQuery(t), open).Code)
 	require.Equal(t, dispatch.OK, r.Probe(ctx, "h", func(string) bool { return true }).Code)
 	s.section("start-up, a request, a probe")
 	s.add("|", <-got, true)
@@ -445,8 +445,8 @@
 }
 
 // goldenPool starts a session front whose transactions go to a scripted host, over one connection.
-func goldenPool(t *testing.T, adjust func(l *SessionLimits), assignments ...Assignments) (*pooled, *scriptedHost) {
-	w := pool(t, func(l *SessionLimits) {
+func goldenPool(t *testing.T, adjust func(l *SessionLimits), assignments ...Assignments) (*poolerFixture, *scriptedHost) {
+	w := startPooler(t, func(l *SessionLimits) {
 		l.Pools[0].Sizes.MaxConnections, l.Pools[0].MaxSticky, l.Pools[0].Database = 1, 0, "orders"
 		if adjust != nil {
 			adjust(l)
@@ -548,7 +548,7 @@
 func TestGoldenSessionLimits(t *testing.T) {
 	s := &transcript{t: t}
 	s.section("too many connections")
-	w, _ := goldenPool(t, func(l *SessionLimits) { l.Clients = 0 })
+	w, _ := goldenPool(t, func(l *SessionLimits) { l.MaxClients = 0 })
 	s.client(w.address).readUntil("")
 	s.section("no connection is free, and nobody may wait")
 	w, _ = goldenPool(t, func(l *SessionLimits) { l.Pools[0].Sizes.MaxWaiting = 0 })
@@ -563,7 +563,7 @@
 	s.client(w.address).startSession().send(simpleQuery("LISTEN x")).readUntil("Z")
 	bound.send(simpleQuery("SELECT cut")).readUntil("Z").send(simpleQuery("LISTEN x")).readUntil("Z").send(simpleQuery("SELECT 1")).readUntil("Z")
 	s.section("no memory for statements")
-	w, _ = goldenPool(t, func(l *SessionLimits) { l.Bytes = 1 })
+	w, _ = goldenPool(t, func(l *SessionLimits) { l.MaxBytes = 1 })
 	s.client(w.address).startSession().send(typedMessage('P', "\x00SELECT 1\x00\x00\x00"), typedMessage('S', "")).readUntil("Z")
 	s.section("a password")
 	w, _ = goldenPool(t, func(l *SessionLimits) {
@@ -574,8 +574,8 @@
 		s.client(w.address).sendStartup(startupMessage("web", "orders")).readUntil("R").send(typedMessage('p', body)).readUntil("")
 	}
 	s.section("homes")
-	assignments := &told{}
-	assignments.set(paused(1))
+	assignments := &fakeAssignments{}
+	assignments.set(pausedAt(1))
 	w, _ = goldenPool(t, nil, assignments)
 	s.client(w.address).startSession().send(simpleQuery("SELECT 1")).readUntil("Z")
 	w, _ = goldenPool(t, func(l *SessionLimits) { l.Pools[0].MaxPauseMillis = 60000 }, assignments)
@@ -583,7 +583,7 @@
 	c := s.client(w.address).startSession().send(simpleQuery("SELECT 1")).readUntil("Z")
 	assignments.set(session.Assignment{HasGroup: true, Undecided: true})
 	c.send(simpleQuery("SELECT 1")).readUntil("Z")
-	assignments.set(at(1))
+	assignments.set(assignedTo(1))
 	c.send(simpleQuery("/* cluster=2 */ SELECT 1")).readUntil("Z")
 	c.send(simpleQuery("SELECT 1")).readUntil("Z")
 	s.section("the process is to end")
@@ -593,10 +593,10 @@
 	w.front.Drain()
 	idle.readUntil("")
 	s.client(w.address).readUntil("")
-	w.front.Cut()
+	w.front.CloseClients()
 	c.readUntil("")
 	s.section("no list yet")
-	front := NewSessionFront(nil, dispatcherWithoutEndpoints(t), clock.System(), Platform, SessionLimits{Clients: 10, Message: 1 << 20, RetryAfterMillis: 50})
+	front := NewSessionFront(nil, dispatcherWithoutEndpoints(t), clock.System(), Platform, SessionLimits{MaxClients: 10, MaxMessageBytes: 1 << 20, RetryAfterMillis: 50})
 	s.client(startLoop(t, front.Accept)).sendStartup(startupMessage("web", "orders")).readUntil("")
 	s.compare("session-limits")
 }
--- a/internal/net/pg/gone_test.go
+++ b/internal/net/pg/gone_test.go
@@ -24,17 +24,17 @@
 
 // countingBackend is a backend that reaches no host and counts the attempts.
 type countingBackend struct {
-	nowhere
+	unreachableBackend
 	n atomic.Int64
 }
 
 func (b *countingBackend) Acquire(ctx context.Context, host string) (edge.Conn, error) {
 	b.n.Add(1)
-	return b.nowhere.Acquire(ctx, host)
+	return b.unreachableBackend.Acquire(ctx, host)
 }
 
-// on runs a function on the event loop and waits for it.
-func (d *door) on(do func()) {
+// runOnLoop runs a function on the event loop and waits for it.
+func (d *frontFixture) runOnLoop(do func()) {
 	done := make(chan struct{})
 	_ = d.eventLoop.Load().(gnet.EventLoop).Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
 		defer close(done)
@@ -46,8 +46,8 @@
 
 func report(id string) string { return "/* id=" + id + ",c=report,d=20000,cluster=1 */ SELECT 'k'" }
 
-// busy waits until n clients have a request in flight.
-func (d *door) busy(t *testing.T, n int) {
+// waitInFlight waits until n clients have a request in flight.
+func (d *frontFixture) waitInFlight(t *testing.T, n int) {
 	t.Helper()
 	require.Eventually(t, func() bool { return d.count(func(h *client) bool { return h.requestInFlight }) == n }, 10*time.Second, time.Millisecond)
 }
@@ -56,18 +56,18 @@
 // request and the end together. No attempt may begin for the request, in whatever order the event loop and
 // the request's goroutine then run.
 func TestRequestArrivingWithDisconnectIsNotBegun(t *testing.T) {
-	d := listen(t, FrontLimits{Clients: 100, Bytes: 1 << 20})
+	d := startFront(t, FrontLimits{MaxClients: 100, MaxUnreadBytes: 1 << 20})
 	b := &countingBackend{}
-	errorsOf(t, d.call(t, ""), 1)
-	d.on(func() { d.edge = edge.New(d.facade, d.clock, b) })
+	readReplies(t, d.connect(t, ""), 1)
+	d.runOnLoop(func() { d.edge = edge.New(d.dispatcher, d.clock, b) })
 	for _, how := range []string{"closes", "shuts its sending", "resets"} {
 		var all []net.Conn
 		for range 20 {
-			c := d.call(t, "")
-			require.Equal(t, []string{"empty"}, errorsOf(t, c, 1))
+			c := d.connect(t, "")
+			require.Equal(t, []string{"empty"}, readReplies(t, c, 1))
 			all = append(all, c)
 		}
-		d.on(func() {
+		d.runOnLoop(func() {
 			for i, c := range all {
 				_, err := c.Write(appendQuery(nil, func(b []byte) []byte { return append(b, report(fmt.Sprint(how, i))...) }))
 				require.NoError(t, err)
@@ -85,16 +85,16 @@
 		require.Eventually(t, func() bool { return d.count(func(*client) bool { return true }) == 1 }, 10*time.Second, time.Millisecond)
 		require.Zero(t, b.n.Load(), how)
 	}
-	d.call(t, report("stays")) // in the other order: the request is begun before the end comes
+	d.connect(t, report("stays")) // in the other order: the request is begun before the end comes
 	require.Eventually(t, func() bool { return b.n.Load() == 1 }, 10*time.Second, time.Millisecond)
 }
 
 // A Terminate message after a request cancels the request, however its bytes are split. An incomplete
 // Terminate message, or bytes that only look like one, do not.
 func TestTerminateAfterRequestCancelsIt(t *testing.T) {
-	d := listen(t, FrontLimits{Clients: 16, Bytes: 1 << 20})
-	c := d.call(t, report("a"), report("b"), "X\x00\x00\x00\x04")
-	d.busy(t, 1)
+	d := startFront(t, FrontLimits{MaxClients: 16, MaxUnreadBytes: 1 << 20})
+	c := d.connect(t, report("a"), report("b"), "X\x00\x00\x00\x04")
+	d.waitInFlight(t, 1)
 	for i, b := range []byte{'X', 0, 0, 0} {
 		_, err := c.Write([]byte{b})
 		require.NoError(t, err)
@@ -111,7 +111,7 @@
 }
 
 // sendCancel sends a cancel request and waits until it was handled.
-func (d *door) sendCancel(t *testing.T, key uint64) {
+func (d *frontFixture) sendCancel(t *testing.T, key uint64) {
 	c, err := net.Dial("tcp", d.address)
 	require.NoError(t, err)
 	defer c.Close()
@@ -126,7 +126,7 @@
 // request of another client, nothing for an unknown key, and no request pipelined behind it. It is handled
 // even if the number of clients is at its limit.
 func TestCancelRequestCancelsOnlyItsRequest(t *testing.T) {
-	d := listen(t, FrontLimits{Clients: 16, Bytes: 1 << 20})
+	d := startFront(t, FrontLimits{MaxClients: 16, MaxUnreadBytes: 1 << 20})
 	read := func(c net.Conn) (key uint64) {
 		f := pgproto3.NewFrontend(c, io.Discard)
 		for {
@@ -149,7 +149,7 @@
 		require.NoError(t, err)
 	}
 	open := func() (net.Conn, uint64) {
-		c := d.call(t)
+		c := d.connect(t)
 		_, err := c.Write(startupMessage("web", "orders"))
 		require.NoError(t, err)
 		return c, read(c)
@@ -160,27 +160,27 @@
 	require.NotZero(t, uint32(keyX)|uint32(keyY))
 	send(x, report("x1"), report("x2"))
 	send(y, report("y"))
-	d.busy(t, 2)
+	d.waitInFlight(t, 2)
 	for _, wrong := range []uint64{keyX + 1, keyX &^ 0xffffffff, 0, keyY ^ 1<<32} {
 		d.sendCancel(t, wrong)
 	}
-	d.busy(t, 2)
+	d.waitInFlight(t, 2)
 	for range 14 {
-		d.call(t)
+		d.connect(t)
 	}
 	require.Eventually(t, func() bool { return d.count(func(*client) bool { return true }) >= 14 }, 10*time.Second, time.Millisecond)
 	d.sendCancel(t, keyX)
-	require.Equal(t, []string{"ERROR 57014 "}, errorsOf(t, x, 1))
-	d.busy(t, 2) // its pipelined request is in flight now
+	require.Equal(t, []string{"ERROR 57014 "}, readReplies(t, x, 1))
+	d.waitInFlight(t, 2) // its pipelined request is in flight now
 	d.sendCancel(t, keyX)
-	require.Equal(t, []string{"ERROR 57014 "}, errorsOf(t, x, 1))
-	d.busy(t, 1)
+	require.Equal(t, []string{"ERROR 57014 "}, readReplies(t, x, 1))
+	d.waitInFlight(t, 1)
 	d.sendCancel(t, keyX) // no request is in flight, so nothing is cancelled
 	send(x, "")
-	require.Equal(t, []string{"empty"}, errorsOf(t, x, 1))
+	require.Equal(t, []string{"empty"}, readReplies(t, x, 1))
 	x.Close()
-	require.Eventually(t, func() bool { n := 0; d.on(func() { n = len(d.cancelKeys) }); return n == 1 }, 10*time.Second, time.Millisecond, "its key went with it")
-	d.busy(t, 1)
+	require.Eventually(t, func() bool { n := 0; d.runOnLoop(func() { n = len(d.cancelKeys) }); return n == 1 }, 10*time.Second, time.Millisecond, "its key went with it")
+	d.waitInFlight(t, 1)
 }
 
 // disconnectDeadline is the time within which the end of a client must be noticed.
@@ -219,18 +219,18 @@
 func TestDisconnectBurstDuringFloodIsNoticedInTime(t *testing.T) { testDisconnectBurst(t, 40) }
 
 func testDisconnectBurst(t *testing.T, flood int) {
-	d := listen(t, FrontLimits{Clients: 700, Bytes: 64 << 20})
+	d := startFront(t, FrontLimits{MaxClients: 700, MaxUnreadBytes: 64 << 20})
 	var all []net.Conn
 	for i := range 500 {
-		all = append(all, d.call(t, report(fmt.Sprint("a", i)), report(fmt.Sprint("b", i))))
+		all = append(all, d.connect(t, report(fmt.Sprint("a", i)), report(fmt.Sprint("b", i))))
 	}
-	d.busy(t, 500)
+	d.waitInFlight(t, 500)
 	for i := range flood {
 		var texts []string
 		for k := range 1000 {
 			texts = append(texts, fmt.Sprintf("/* id=f%d-%d,c=report,d=20000,cluster=77 */ SELECT 'k'", i, k))
 		}
-		c := d.call(t, texts...)
+		c := d.connect(t, texts...)
 		go func() { _, _ = io.Copy(io.Discard, c) }()
 	}
 	begun := time.Now()
@@ -256,8 +256,8 @@
 // available.
 func TestDisconnectOfPausedSessionIsNoticed(t *testing.T) {
 	for _, how := range []string{"closes", "resets"} {
-		w := pool(t, func(l *SessionLimits) {
-			l.Pools[0].Sizes.MaxConnections, l.Pools[0].WaitTimeoutMillis, l.Message = 1, 20000, 64<<10
+		w := startPooler(t, func(l *SessionLimits) {
+			l.Pools[0].Sizes.MaxConnections, l.Pools[0].WaitTimeoutMillis, l.MaxMessageBytes = 1, 20000, 64<<10
 		})
 		first := w.connect("")
 		w.exec(first, "BEGIN")
@@ -297,16 +297,16 @@
 // whatever happens to that connection next: it becomes ready, it breaks, or its host begins to drain.
 func TestCancelDuringSettingsRestoreSurvivesReconnect(t *testing.T) {
 	for _, then := range []string{"it is ready", "it breaks", "it drains"} {
-		w := housed(t, nil)
+		w := startTenantFixture(t, nil)
 		c := w.connect("")
 		other := w.connect("")
 		w.exec(other, "SET app.slow TO 1") // c's transaction must not see this setting, unless it gets a new connection
 		release := make(chan struct{})
-		w.gate.slow.Store(&release)
-		slowed := w.gate.slowed.Load()
-		out := later(c, w.insert("cancelled"))
-		require.Eventually(t, func() bool { return w.gate.slowed.Load() > slowed }, 10*time.Second, time.Millisecond)
-		require.NoError(t, c.PgConn().CancelRequest(patient(t))) // it returns once it was dealt with
+		w.proxy.holdSlowQueries.Store(&release)
+		slowed := w.proxy.heldQueries.Load()
+		out := execAsync(c, w.insert("cancelled"))
+		require.Eventually(t, func() bool { return w.proxy.heldQueries.Load() > slowed }, 10*time.Second, time.Millisecond)
+		require.NoError(t, c.PgConn().CancelRequest(testContext(t))) // it returns once it was dealt with
 		switch then {
 		case "it breaks":
 			broken := make(chan int, 1)
@@ -322,14 +322,14 @@
 			})
 			require.Equal(t, 1, <-broken)
 		case "it drains":
-			w.facade.UpdateEndpoints(false, []dispatch.Endpoint{{Host: "a", Group: 1, Primary: true, Draining: true}})
+			w.dispatcher.UpdateEndpoints(false, []dispatch.Endpoint{{Host: "a", Group: 1, Primary: true, Draining: true}})
 		}
 		close(release)
-		require.Equal(t, "57014", state(<-out), then)
-		w.gate.slow.Store(nil)
-		w.members()
+		require.Equal(t, "57014", sqlStateOf(<-out), then)
+		w.proxy.holdSlowQueries.Store(nil)
+		w.updateEndpoints()
 		require.Eventually(t, func() bool { // the router may have to find the primary again
-			_, err := c.Exec(patient(t), w.insert("next"))
+			_, err := c.Exec(testContext(t), w.insert("next"))
 			return err == nil
 		}, 10*time.Second, 10*time.Millisecond, then)
 		require.Zero(t, w.cluster.Versions("public", "entries", "cancelled"), then)
@@ -339,13 +339,13 @@
 // A session cancels while the host that rejected its transaction has not sent its whole response. The
 // transaction is not sent to another host.
 func TestCancelDuringHostRejectionIsKept(t *testing.T) {
-	w := housed(t, nil)
+	w := startTenantFixture(t, nil)
 	c := w.connect("")
 	w.exec(c, w.insert("before"))
-	w.gate.shut.Store(true)
+	w.proxy.rejectWrites.Store(true)
 	hold := make(chan struct{})
-	w.gate.turned.Store(&hold)
-	out := later(c, w.insert("cancelled"))
+	w.proxy.holdReadyForQuery.Store(&hold)
+	out := execAsync(c, w.insert("cancelled"))
 	turned := func() (yes bool) {
 		n := make(chan bool, 1)
 		w.front.onLoop(func() {
@@ -357,11 +357,11 @@
 		return <-n
 	}
 	require.Eventually(t, turned, 10*time.Second, time.Millisecond)
-	require.NoError(t, c.PgConn().CancelRequest(patient(t)))
-	w.gate.shut.Store(false)
-	w.homes.set(session.Assignment{HasGroup: true, Group: 2})
+	require.NoError(t, c.PgConn().CancelRequest(testContext(t)))
+	w.proxy.rejectWrites.Store(false)
+	w.assignments.set(session.Assignment{HasGroup: true, Group: 2})
 	close(hold)
-	require.Equal(t, "57014", state(<-out))
+	require.Equal(t, "57014", sqlStateOf(<-out))
 	require.Zero(t, w.other.Versions("public", "entries", "cancelled")+w.cluster.Versions("public", "entries", "cancelled"))
 	require.Equal(t, "INSERT 0 1", w.exec(c, w.insert("next")))
 	require.Equal(t, 1, w.other.Versions("public", "entries", "next"))
--- a/internal/net/pg/homes_test.go
+++ b/internal/net/pg/homes_test.go
@@ -26,13 +26,13 @@
 	lab "ashstand/testbed/host"
 )
 
-// told is an Assignments whose assignments are set by a test.
-type told struct {
+// fakeAssignments is an Assignments whose assignments are set by a test.
+type fakeAssignments struct {
 	of    atomic.Pointer[map[string]session.Assignment]
 	front *SessionFront
 }
 
-func (h *told) Assignment(database string, _ float64) session.Assignment {
+func (h *fakeAssignments) Assignment(database string, _ float64) session.Assignment {
 	if m := h.of.Load(); m != nil {
 		return (*m)[database]
 	}
@@ -40,7 +40,7 @@
 }
 
 // set changes the assignment of the database orders and notifies the front.
-func (h *told) set(to session.Assignment) {
+func (h *fakeAssignments) set(to session.Assignment) {
 	m := map[string]session.Assignment{}
 	if old := h.of.Load(); old != nil {
 		for k, v := range *old {
@@ -57,29 +57,31 @@
 	}
 }
 
-// at is an assignment to a group.
-func at(group uint64) session.Assignment { return session.Assignment{HasGroup: true, Group: group} }
+// assignedTo is an assignment to a group.
+func assignedTo(group uint64) session.Assignment {
+	return session.Assignment{HasGroup: true, Group: group}
+}
 
-// paused is an assignment to a group with the tenant paused.
-func paused(group uint64) session.Assignment {
+// pausedAt is an assignment to a group with the tenant paused.
+func pausedAt(group uint64) session.Assignment {
 	return session.Assignment{HasGroup: true, Group: group, Paused: true}
 }
 
 // tenantFixture is a front with two groups; the database orders is assigned to the first.
 type tenantFixture struct {
-	*pooled
-	homes *told
-	other *lab.Cluster
-	c     *lab.Host     // the primary of group 2
-	gate  *fencingProxy // in front of a, the primary of group 1
+	*poolerFixture
+	assignments *fakeAssignments
+	other       *lab.Cluster
+	c           *lab.Host     // the primary of group 2
+	proxy       *fencingProxy // in front of a, the primary of group 1
 }
 
-// housed starts a front with two groups. change, unless nil, modifies the limits.
-func housed(t testing.TB, change func(l *SessionLimits)) *tenantFixture {
-	h := &told{}
-	h.set(at(1))
-	w := &tenantFixture{homes: h, other: lab.NewCluster(2, 2)}
-	w.pooled = pool(t, func(l *SessionLimits) {
+// startTenantFixture starts a front with two groups. change, unless nil, modifies the limits.
+func startTenantFixture(t testing.TB, change func(l *SessionLimits)) *tenantFixture {
+	h := &fakeAssignments{}
+	h.set(assignedTo(1))
+	w := &tenantFixture{assignments: h, other: lab.NewCluster(2, 2)}
+	w.poolerFixture = startPooler(t, func(l *SessionLimits) {
 		l.MaxPausedTransactions = 5000
 		l.Pools[0].MaxPausedTransactions, l.Pools[0].MaxPauseMillis, l.Pools[0].WaitTimeoutMillis = 1000, 60000, 30000
 		if change != nil {
@@ -91,10 +93,10 @@
 	w.c, err = w.other.Add("c", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(w.c.Stop)
-	w.gate = newFencingProxy(t, w.a.Address)
-	w.front.SetAddress("a", w.gate.address)
+	w.proxy = newFencingProxy(t, w.a.Address)
+	w.front.SetAddress("a", w.proxy.address)
 	w.front.SetAddress("c", w.c.Address)
-	w.facade.UpdateEndpoints(false, []dispatch.Endpoint{{Host: "c", Group: 2, Primary: true}})
+	w.dispatcher.UpdateEndpoints(false, []dispatch.Endpoint{{Host: "c", Group: 2, Primary: true}})
 	return w
 }
 
@@ -114,8 +116,8 @@
 	require.Eventually(w.t, func() bool { return w.tenantStats().Queued == n }, 10*time.Second, time.Millisecond, "%d transactions are queued, not %d", w.tenantStats().Queued, n)
 }
 
-// later runs a statement on a goroutine and sends its error.
-func later(c *pgx.Conn, text string, args ...any) chan error {
+// execAsync runs a statement on a goroutine and sends its error.
+func execAsync(c *pgx.Conn, text string, args ...any) chan error {
 	out := make(chan error, 1)
 	go func() {
 		_, err := c.Exec(context.Background(), text, args...)
@@ -133,13 +135,13 @@
 // closed tenant does.
 type fencingProxy struct {
 	address             string
-	shut                atomic.Bool
+	rejectWrites        atomic.Bool
 	noticeFirst         atomic.Pointer[chan struct{}] // a notice precedes the rejection, which waits until the channel is closed
 	closeAfterRejection atomic.Bool                   // the connection is closed after the rejection
-	slow                atomic.Pointer[chan struct{}] // queries that contain "slow" wait until the channel is closed
-	slowed              atomic.Int64
+	holdSlowQueries     atomic.Pointer[chan struct{}] // queries that contain "slow" wait until the channel is closed
+	heldQueries         atomic.Int64
 	rejections          atomic.Int64
-	turned              atomic.Pointer[chan struct{}] // ReadyForQuery follows the next rejection once the channel is closed
+	holdReadyForQuery   atomic.Pointer[chan struct{}] // ReadyForQuery follows the next rejection once the channel is closed
 }
 
 // newFencingProxy starts a proxy to the host at an address.
@@ -226,7 +228,7 @@
 		if batch = append(batch, whole...); head[0] != 'Q' && head[0] != 'S' && head[0] != 'X' {
 			continue
 		}
-		if g.shut.Load() && writes {
+		if g.rejectWrites.Load() && writes {
 			g.rejections.Add(1)
 			if received := g.noticeFirst.Load(); received != nil {
 				_, _ = c.Write(appendMessage(nil, 'N', func(b []byte) []byte { return append(b, "SNOTICE\x00VNOTICE\x00C00000\x00Msoon\x00\x00"...) }))
@@ -241,15 +243,15 @@
 			if status.Load() != 'I' {
 				st = 'E'
 			}
-			if wait := g.turned.Swap(nil); wait != nil {
+			if wait := g.holdReadyForQuery.Swap(nil); wait != nil {
 				_, _ = c.Write(out)
 				out = nil
 				<-*wait
 			}
 			_, err = c.Write(append(out, 'Z', 0, 0, 0, 5, st))
 		} else {
-			if wait := g.slow.Load(); wait != nil && head[0] == 'Q' && strings.Contains(string(body), "slow") {
-				g.slowed.Add(1)
+			if wait := g.holdSlowQueries.Load(); wait != nil && head[0] == 'Q' && strings.Contains(string(body), "slow") {
+				g.heldQueries.Add(1)
 				<-*wait
 			}
 			_, err = s.Write(batch)
@@ -261,21 +263,21 @@
 }
 
 func TestPausedTenantQueuesAndReleasesInOrder(t *testing.T) {
-	w := housed(t, func(l *SessionLimits) { l.Pools[0].Sizes.MaxConnections = 1 })
+	w := startTenantFixture(t, func(l *SessionLimits) { l.Pools[0].Sizes.MaxConnections = 1 })
 	first := w.connect("")
 	w.exec(first, w.insert("before"))
 	require.Equal(t, 1, w.cluster.Versions("public", "entries", "before"))
 	running := w.connect("")
 	w.exec(running, "BEGIN")
 	w.exec(running, w.insert("running"))
-	w.homes.set(paused(1))
+	w.assignments.set(pausedAt(1))
 	var waits []chan error
 	for i := range 6 {
 		c := w.connect("")
 		if i == 3 { // one uses the extended protocol
-			waits = append(waits, later(c, "INSERT INTO entries (ref, payload) VALUES ($1, $2)", pgx.QueryExecModeExec, "held", fmt.Sprint(i)))
+			waits = append(waits, execAsync(c, "INSERT INTO entries (ref, payload) VALUES ($1, $2)", pgx.QueryExecModeExec, "held", fmt.Sprint(i)))
 		} else {
-			waits = append(waits, later(c, fmt.Sprintf("INSERT INTO entries (ref, payload) VALUES ('held', '%d')", i)))
+			waits = append(waits, execAsync(c, fmt.Sprintf("INSERT INTO entries (ref, payload) VALUES ('held', '%d')", i)))
 		}
 		w.requireQueued(i + 1)
 	}
@@ -284,11 +286,11 @@
 	w.exec(running, w.insert("running2")) // a running transaction continues to its end
 	w.exec(running, "COMMIT")
 	require.Equal(t, 1, w.cluster.Versions("public", "entries", "running2"))
-	w.homes.set(session.Assignment{HasGroup: true, Paused: true, Undecided: true, PausedSince: w.tenantStats().PausedSince}) // while two versions of the rules disagree
+	w.assignments.set(session.Assignment{HasGroup: true, Paused: true, Undecided: true, PausedSince: w.tenantStats().PausedSince}) // while two versions of the rules disagree
 	require.Equal(t, 6, w.tenantStats().Queued)
-	w.homes.set(paused(2))
+	w.assignments.set(pausedAt(2))
 	require.Equal(t, 6, w.tenantStats().Queued)
-	w.homes.set(at(2))
+	w.assignments.set(assignedTo(2))
 	for i, wait := range waits {
 		require.NoError(t, <-wait, i)
 	}
@@ -301,9 +303,9 @@
 }
 
 func TestTenantQueueRejections(t *testing.T) {
-	w := housed(t, func(l *SessionLimits) {
+	w := startTenantFixture(t, func(l *SessionLimits) {
 		l.Pools[0].MaxPausedTransactions, l.Pools[0].MaxPauseMillis, l.Pools[0].WaitTimeoutMillis = 2, 60000, 30000
-		l.Bytes = 1 << 20
+		l.MaxBytes = 1 << 20
 	})
 	c, d, e, g := w.connect(""), w.connect(""), w.connect(""), w.connect("")
 	requireRejected := func(err error, text string) {
@@ -315,38 +317,38 @@
 		require.Contains(t, err.Error(), text)
 	}
 	// The client's own deadline: the rejection comes in time for it.
-	w.homes.set(paused(1))
+	w.assignments.set(pausedAt(1))
 	begun := time.Now()
-	_, err := c.Exec(patient(t), "/* d=200 */ SELECT 1")
+	_, err := c.Exec(testContext(t), "/* d=200 */ SELECT 1")
 	requireRejected(err, "paused for longer")
 	require.Greater(t, time.Since(begun), 190*time.Millisecond)
 	require.Less(t, time.Since(begun), 10*time.Second, "at its own deadline, not at the pause's or the pool's")
 	// The queue is full.
-	x, y := later(c, "SELECT 1"), later(d, w.insert("y"))
+	x, y := execAsync(c, "SELECT 1"), execAsync(d, w.insert("y"))
 	w.requireQueued(2)
-	_, err = e.Exec(patient(t), "SELECT 1")
+	_, err = e.Exec(testContext(t), "SELECT 1")
 	requireRejected(err, "as many transactions wait as may")
 	// A client that disconnects makes room.
 	d.PgConn().Conn().Close()
 	w.requireQueued(1)
 	require.Error(t, <-y)
 	// The longest pause, for a transaction that waits and for one that arrives later.
-	w.homes.set(at(1))
+	w.assignments.set(assignedTo(1))
 	require.NoError(t, <-x)
-	longPause := paused(1)
+	longPause := pausedAt(1)
 	longPause.PausedSince = clock.System().Now() - 60000 + 300
-	w.homes.set(longPause)
+	w.assignments.set(longPause)
 	begun = time.Now()
 	for range 2 {
-		_, err = c.Exec(patient(t), "SELECT 1")
+		_, err = c.Exec(testContext(t), "SELECT 1")
 		requireRejected(err, "paused for longer")
 	}
 	require.Less(t, time.Since(begun), 10*time.Second)
-	// Bytes: a tenant may queue a quarter of SessionLimits.Bytes.
-	w.homes.set(paused(1))
-	z := later(c, "SELECT '"+strings.Repeat("x", 200<<10)+"'")
+	// Bytes: a tenant may queue a quarter of SessionLimits.MaxBytes.
+	w.assignments.set(pausedAt(1))
+	z := execAsync(c, "SELECT '"+strings.Repeat("x", 200<<10)+"'")
 	w.requireQueued(1)
-	_, err = e.Exec(patient(t), "SELECT '"+strings.Repeat("x", 100<<10)+"'")
+	_, err = e.Exec(testContext(t), "SELECT '"+strings.Repeat("x", 100<<10)+"'")
 	requireRejected(err, "memory")
 	// Reads from a queued client that goes on sending are paused once that is used up.
 	more, err := net.Dial("tcp", w.address)
@@ -360,7 +362,7 @@
 	const queries = 5000
 	go func() { _, _ = more.Write([]byte(strings.Repeat(string(small), queries))) }()
 	require.Eventually(t, func() bool { return w.front.Stats().ReadsPaused > pausesBefore }, 5*time.Second, time.Millisecond)
-	w.homes.set(at(1))
+	w.assignments.set(assignedTo(1))
 	require.NoError(t, <-z)
 	require.NoError(t, more.SetReadDeadline(time.Now().Add(20*time.Second)))
 	var got []byte
@@ -371,9 +373,9 @@
 	}
 	// Fenced: new transactions are rejected at once, and an open block continues.
 	w.exec(g, "BEGIN")
-	w.homes.set(session.Assignment{HasGroup: true, Undecided: true})
+	w.assignments.set(session.Assignment{HasGroup: true, Undecided: true})
 	begun = time.Now()
-	_, err = c.Exec(patient(t), "SELECT $1", "1")
+	_, err = c.Exec(testContext(t), "SELECT $1", "1")
 	requireRejected(err, "no home that is agreed on")
 	require.Less(t, time.Since(begun), 10*time.Second)
 	w.exec(g, w.insert("in a block"))
@@ -381,18 +383,18 @@
 	require.Zero(t, w.cluster.Versions("public", "entries", "y"), "its client disconnected")
 	require.EqualValues(t, 6, w.tenantStats().Rejected)
 	// A comment that names another group than the assignment.
-	w.homes.set(at(2))
-	w.fails(c, "08P01", "/* cluster=1 */ "+w.insert("astray"))
+	w.assignments.set(assignedTo(2))
+	w.requireSQLState(c, "08P01", "/* cluster=1 */ "+w.insert("astray"))
 	w.exec(c, "/* cluster=2 */ "+w.insert("home"))
 	require.Zero(t, w.cluster.Versions("public", "entries", "astray"))
 	require.Equal(t, 1, w.other.Versions("public", "entries", "home"))
 	// A cancel request for a queued transaction.
-	w.homes.set(paused(2))
-	z = later(c, "SELECT 1")
+	w.assignments.set(pausedAt(2))
+	z = execAsync(c, "SELECT 1")
 	w.requireQueued(1)
-	require.NoError(t, c.PgConn().CancelRequest(patient(t)))
-	require.Equal(t, "57014", state(<-z))
-	w.homes.set(at(2))
+	require.NoError(t, c.PgConn().CancelRequest(testContext(t)))
+	require.Equal(t, "57014", sqlStateOf(<-z))
+	w.assignments.set(assignedTo(2))
 	require.Equal(t, "1", w.queryValue(c, "SELECT $1", "1"))
 }
 
@@ -400,16 +402,16 @@
 // connection, or for the restoring of its settings, while the tenant moved.
 func TestAssignmentIsCheckedAgainBeforeSending(t *testing.T) {
 	for _, silent := range []bool{false, true} { // whether the front is not notified that the rules changed
-		w := housed(t, func(l *SessionLimits) { l.Pools[0].Sizes.MaxConnections = 1 })
+		w := startTenantFixture(t, func(l *SessionLimits) { l.Pools[0].Sizes.MaxConnections = 1 })
 		c, d := w.connect(""), w.connect("")
 		w.exec(c, "BEGIN")
 		w.exec(c, w.insert("c"))
-		wait := later(d, w.insert("d"))
+		wait := execAsync(d, w.insert("d"))
 		require.Eventually(t, func() bool { return w.front.Stats().Waiting == 1 }, 5*time.Second, time.Millisecond)
 		if silent {
-			w.homes.front = nil
+			w.assignments.front = nil
 		}
-		w.homes.set(at(2))
+		w.assignments.set(assignedTo(2))
 		if !silent {
 			require.NoError(t, <-wait, "it does not wait for a connection to the former group")
 		}
@@ -422,15 +424,15 @@
 		require.Equal(t, 1, w.other.Versions("public", "entries", "d"))
 	}
 	// The tenant moves while the session's settings are being restored.
-	w := housed(t, func(l *SessionLimits) { l.Pools[0].Sizes.MaxConnections = 1 })
+	w := startTenantFixture(t, func(l *SessionLimits) { l.Pools[0].Sizes.MaxConnections = 1 })
 	c, d := w.connect(""), w.connect("")
 	w.exec(c, "SET app.slow TO 1")
 	w.exec(d, "SET app.quick TO 1")
 	wait := make(chan struct{})
-	w.gate.slow.Store(&wait)
-	done := later(c, w.insert("c"))
-	require.Eventually(t, func() bool { return w.gate.slowed.Load() == 1 }, 5*time.Second, time.Millisecond)
-	w.homes.set(at(2))
+	w.proxy.holdSlowQueries.Store(&wait)
+	done := execAsync(c, w.insert("c"))
+	require.Eventually(t, func() bool { return w.proxy.heldQueries.Load() == 1 }, 5*time.Second, time.Millisecond)
+	w.assignments.set(assignedTo(2))
 	close(wait)
 	require.NoError(t, <-done)
 	require.Zero(t, w.cluster.Versions("public", "entries", "c"))
@@ -438,70 +440,70 @@
 }
 
 func TestStatementsRejectedByFencingAreReplayed(t *testing.T) {
-	w := housed(t, nil)
+	w := startTenantFixture(t, nil)
 	c, d := w.connect(""), w.connect("")
-	_, err := c.Prepare(patient(t), "mine", "INSERT INTO entries (ref, payload) VALUES ($1, $2)")
+	_, err := c.Prepare(testContext(t), "mine", "INSERT INTO entries (ref, payload) VALUES ($1, $2)")
 	require.NoError(t, err)
-	w.gate.shut.Store(true)
+	w.proxy.rejectWrites.Store(true)
 	// The tenant is closed at its host before the rules say so: in both forms of the protocol the statement
 	// is sent once, and then waits for the rules to change.
-	waits := []chan error{later(c, "mine", "turned", "1"), later(d, w.insert("turned"))}
+	waits := []chan error{execAsync(c, "mine", "turned", "1"), execAsync(d, w.insert("turned"))}
 	w.requireQueued(2)
-	require.EqualValues(t, 2, w.gate.rejections.Load())
+	require.EqualValues(t, 2, w.proxy.rejections.Load())
 	e := w.connect("")
 	require.Equal(t, "1", w.queryValue(e, "SELECT $1", "1"), "reads continue meanwhile")
-	w.homes.set(paused(1))
-	w.homes.set(at(2))
+	w.assignments.set(pausedAt(1))
+	w.assignments.set(assignedTo(2))
 	for _, wait := range waits {
 		require.NoError(t, <-wait)
 	}
-	require.EqualValues(t, 2, w.gate.rejections.Load())
+	require.EqualValues(t, 2, w.proxy.rejections.Load())
 	require.Equal(t, 2, w.other.Versions("public", "entries", "turned"))
 	require.Zero(t, w.cluster.Versions("public", "entries", "turned"))
 	require.EqualValues(t, 2, w.front.Stats().RejectedByHost)
 	// A pause ends with the same assignment and the tenant still closed: the second rejection goes to the
 	// client.
-	w.homes.set(at(1))
-	x := later(d, w.insert("twice"))
+	w.assignments.set(assignedTo(1))
+	x := execAsync(d, w.insert("twice"))
 	w.requireQueued(1)
-	w.homes.set(paused(1))
+	w.assignments.set(pausedAt(1))
 	require.Equal(t, 1, w.tenantStats().Queued) // read on the event loop, so the front has processed the pause
-	w.homes.set(at(1))
-	require.Equal(t, "55000", state(<-x))
+	w.assignments.set(assignedTo(1))
+	require.Equal(t, "55000", sqlStateOf(<-x))
 	// The rejection goes to the client unchanged in a block, for several statements, for one that may commit
 	// a part, and where the client has already received something.
 	w.exec(d, "BEGIN")
-	w.fails(d, "55000", w.insert("block"))
+	w.requireSQLState(d, "55000", w.insert("block"))
 	w.exec(d, "ROLLBACK")
-	w.fails(d, "55000", w.insert("two")+"; "+w.insert("two"))
-	w.fails(d, "55000", "CALL what_commits_a_part()")
+	w.requireSQLState(d, "55000", w.insert("two")+"; "+w.insert("two"))
+	w.requireSQLState(d, "55000", "CALL what_commits_a_part()")
 	received := make(chan struct{})
-	w.gate.noticeFirst.Store(&received)
+	w.proxy.noticeFirst.Store(&received)
 	config, err := pgx.ParseConfig("postgres://web@" + w.address + "/orders?sslmode=disable")
 	require.NoError(t, err)
 	config.OnNotice = func(*pgconn.PgConn, *pgconn.Notice) { close(received) }
-	notified, err := pgx.ConnectConfig(patient(t), config)
+	notified, err := pgx.ConnectConfig(testContext(t), config)
 	require.NoError(t, err)
-	w.fails(notified, "55000", w.insert("early"))
+	w.requireSQLState(notified, "55000", w.insert("early"))
 	notified.PgConn().Conn().Close()
-	w.gate.noticeFirst.Store(nil)
+	w.proxy.noticeFirst.Store(nil)
 	// A client whose deadline passes while it waits, and one that disconnects.
-	x = later(c, "/* d=150 */ "+w.insert("late"))
+	x = execAsync(c, "/* d=150 */ "+w.insert("late"))
 	err = <-x
-	require.Equal(t, "53300", state(err))
+	require.Equal(t, "53300", sqlStateOf(err))
 	require.Contains(t, err.Error(), "closed at its host")
-	_ = later(d, w.insert("left"))
+	_ = execAsync(d, w.insert("left"))
 	w.requireQueued(1)
 	d.PgConn().Conn().Close()
 	w.requireQueued(0)
-	w.homes.set(at(2))
+	w.assignments.set(assignedTo(2))
 	require.Equal(t, "1", w.queryValue(c, "SELECT $1", "1"))
 	// The connection is closed right after the rejection: the outcome is not in doubt.
-	w.homes.set(at(1))
-	w.gate.closeAfterRejection.Store(true)
-	x = later(c, w.insert("cut"))
+	w.assignments.set(assignedTo(1))
+	w.proxy.closeAfterRejection.Store(true)
+	x = execAsync(c, w.insert("cut"))
 	w.requireQueued(1)
-	w.homes.set(at(2))
+	w.assignments.set(assignedTo(2))
 	require.NoError(t, <-x)
 	require.Equal(t, 1, w.other.Versions("public", "entries", "cut"))
 	for _, ref := range []string{"twice", "block", "two", "early", "late", "left"} {
@@ -513,14 +515,14 @@
 // The fencing trigger as it is installed in a database, with each form of statement that drivers send:
 // simple, prepared, and an extended query in one round trip.
 func TestStatementsRejectedByFencingTriggerAreReplayed(t *testing.T) {
-	w := housed(t, nil)
+	w := startTenantFixture(t, nil)
 	for _, c := range []*lab.Cluster{w.cluster, w.other} {
 		c.Database("orders")
 	}
-	direct, err := pgx.Connect(patient(t), "postgres://web@"+w.a.Address+"/orders?sslmode=disable")
+	direct, err := pgx.Connect(testContext(t), "postgres://web@"+w.a.Address+"/orders?sslmode=disable")
 	require.NoError(t, err)
 	t.Cleanup(func() { direct.PgConn().Conn().Close() })
-	_, err = direct.PgConn().Exec(patient(t), `CREATE SCHEMA ashstand;
+	_, err = direct.PgConn().Exec(testContext(t), `CREATE SCHEMA ashstand;
 CREATE TABLE ashstand.fence (work text PRIMARY KEY, token bigint NOT NULL, closed boolean NOT NULL, home bigint);
 INSERT INTO ashstand.fence VALUES ('orders', 1, false, 1);
 CREATE FUNCTION ashstand.guard() RETURNS trigger LANGUAGE plpgsql AS $$
@@ -533,33 +535,33 @@
 CREATE TRIGGER fence BEFORE INSERT OR UPDATE OR DELETE ON entries FOR EACH ROW EXECUTE FUNCTION ashstand.guard();`).ReadAll()
 	require.NoError(t, err)
 	a, b, c := w.connect(""), w.connect(""), w.connect("")
-	_, err = b.Prepare(patient(t), "mine", "INSERT INTO entries VALUES ($1, $2)")
+	_, err = b.Prepare(testContext(t), "mine", "INSERT INTO entries VALUES ($1, $2)")
 	require.NoError(t, err)
 	w.exec(a, "INSERT INTO entries VALUES ('before', 'x')")
 	w.exec(direct, "UPDATE ashstand.fence SET closed = true, token = token + 1")
-	w.fails(c, "55000", "BEGIN; DELETE FROM entries; COMMIT")
+	w.requireSQLState(c, "55000", "BEGIN; DELETE FROM entries; COMMIT")
 	w.exec(c, "ROLLBACK")
 	waits := []chan error{
-		later(a, "INSERT INTO entries VALUES ('a', 'x')"), later(b, "mine", "b", "x"),
-		later(c, "INSERT INTO entries VALUES ($1, $2)", pgx.QueryExecModeExec, "c", "x"),
+		execAsync(a, "INSERT INTO entries VALUES ('a', 'x')"), execAsync(b, "mine", "b", "x"),
+		execAsync(c, "INSERT INTO entries VALUES ($1, $2)", pgx.QueryExecModeExec, "c", "x"),
 	}
 	w.requireQueued(3)
-	w.homes.set(paused(2))
-	w.homes.set(at(2))
+	w.assignments.set(pausedAt(2))
+	w.assignments.set(assignedTo(2))
 	for i, wait := range waits {
 		require.NoError(t, <-wait, i)
 	}
 	require.EqualValues(t, 3, w.front.Stats().RejectedByHost)
 	require.Equal(t, "3", w.queryValue(a, "SELECT count(*) FROM entries"), "all three are in the new group")
 	var left string
-	require.NoError(t, direct.QueryRow(patient(t), "SELECT count(*) FROM entries").Scan(&left))
+	require.NoError(t, direct.QueryRow(testContext(t), "SELECT count(*) FROM entries").Scan(&left))
 	require.Equal(t, "1", left)
 }
 
 func TestMovedTenantLeavesRetainedConnections(t *testing.T) {
-	w := housed(t, func(l *SessionLimits) {
+	w := startTenantFixture(t, func(l *SessionLimits) {
 		p := l.Pools[0]
-		p.Name, p.User, p.Mode = "keepers", "keeper", Session
+		p.Name, p.User, p.Mode = "keepers", "keeper", SessionMode
 		l.Pools[0].Name, l.Pools[0].MaxSticky = "webs", 3
 		l.Pools = append([]PoolSettings{p}, l.Pools...)
 	})
@@ -570,19 +572,19 @@
 	w.exec(busy, "BEGIN")
 	idle := w.connect("")
 	w.exec(idle, "LISTEN x")
-	k, err := pgx.Connect(patient(t), "postgres://keeper@"+w.address+"/orders?sslmode=disable")
+	k, err := pgx.Connect(testContext(t), "postgres://keeper@"+w.address+"/orders?sslmode=disable")
 	require.NoError(t, err)
 	t.Cleanup(func() { k.PgConn().Conn().Close() })
 	w.exec(k, "SET app.who TO me")
 	require.Equal(t, []StickyStats{{"keepers", "a", "session mode", 1}, {"webs", "a", string(session.CauseListen), 2}, {"webs", "a", string(session.CauseTemporary), 1}}, w.tenantStats().Sticky)
-	w.homes.set(paused(1))
-	wait := later(k, w.insert("k")) // on a connection that the session keeps
+	w.assignments.set(pausedAt(1))
+	wait := execAsync(k, w.insert("k")) // on a connection that the session keeps
 	w.requireQueued(1)
-	w.homes.set(at(1)) // the tenant has not moved
+	w.assignments.set(assignedTo(1)) // the tenant has not moved
 	require.NoError(t, <-wait)
 	require.Equal(t, 1, w.cluster.Versions("public", "entries", "k"))
 	// A pipeline of which the pooler has answered a part continues, whatever the rules become meanwhile.
-	_, err = k.Prepare(patient(t), "both", "SELECT 'both'")
+	_, err = k.Prepare(testContext(t), "both", "SELECT 'both'")
 	require.NoError(t, err)
 	p := k.PgConn().Frontend()
 	p.SendParse(&pgproto3.Parse{Name: "other", Query: "SELECT 'both'"})
@@ -590,7 +592,7 @@
 	m, err := p.Receive()
 	require.NoError(t, err)
 	require.IsType(t, &pgproto3.ParseComplete{}, m)
-	w.homes.set(session.Assignment{Undecided: true})
+	w.assignments.set(session.Assignment{Undecided: true})
 	p.SendDescribe(&pgproto3.Describe{ObjectType: 'S', Name: "other"})
 	p.SendSync(&pgproto3.Sync{})
 	require.NoError(t, p.Flush())
@@ -601,15 +603,15 @@
 		require.False(t, failed, "%+v", m)
 		_, done = m.(*pgproto3.ReadyForQuery)
 	}
-	w.homes.set(paused(1))
-	wait, waitC := later(k, w.insert("k")), later(c, "SELECT 1")
+	w.assignments.set(pausedAt(1))
+	wait, waitC := execAsync(k, w.insert("k")), execAsync(c, "SELECT 1")
 	w.requireQueued(2)
-	w.homes.set(at(2))
+	w.assignments.set(assignedTo(2))
 	require.NoError(t, <-wait, "a session without sticky state moves along")
 	require.Equal(t, 1, w.other.Versions("public", "entries", "k"))
 	require.Equal(t, "me", w.queryValue(k, "SHOW app.who"))
 	err = <-waitC
-	require.Equal(t, "57P01", state(err))
+	require.Equal(t, "57P01", sqlStateOf(err))
 	require.Contains(t, err.Error(), string(session.CauseTemporary))
 	require.Eventually(t, func() bool { return w.front.Stats().Clients == 2 }, 5*time.Second, time.Millisecond, "an idle session that listens is disconnected without sending anything")
 	w.exec(busy, w.insert("busy"))
@@ -640,15 +642,15 @@
 // transactions.
 func TestPausedTenantDoesNotStarveOthers(t *testing.T) {
 	const many = 2000
-	w := housed(t, func(l *SessionLimits) {
-		l.Clients, l.Bytes = many+100, 16<<20
+	w := startTenantFixture(t, func(l *SessionLimits) {
+		l.MaxClients, l.MaxBytes = many+100, 16<<20
 		l.Pools[0].MaxPausedTransactions, l.Pools[0].MaxPauseMillis, l.Pools[0].WaitTimeoutMillis = many, 60000, 60000
 		l.Pools[0].Sizes.MaxWaiting = 10
 	})
-	other, err := pgx.Connect(patient(t), "postgres://web@"+w.address+"/stock?sslmode=disable")
+	other, err := pgx.Connect(testContext(t), "postgres://web@"+w.address+"/stock?sslmode=disable")
 	require.NoError(t, err)
 	t.Cleanup(func() { other.PgConn().Conn().Close() })
-	w.homes.set(paused(1))
+	w.assignments.set(pausedAt(1))
 	query := appendQuery(startupMessage("web", "orders"), func(b []byte) []byte { return append(b, w.insert("many")...) })
 	conns := make([]net.Conn, many)
 	for i := range conns {
@@ -668,7 +670,7 @@
 		}
 	}
 	queryOther(300 * time.Millisecond)
-	w.homes.set(at(2))
+	w.assignments.set(assignedTo(2))
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	failed := map[string]int{} // by outcome
@@ -694,9 +696,9 @@
 // and disconnect. Every write that was acknowledged exists once, no write exists twice, and the front's
 // counts end at zero.
 func TestTenantsUnderRandomReassignment(t *testing.T) {
-	w := housed(t, func(l *SessionLimits) {
+	w := startTenantFixture(t, func(l *SessionLimits) {
 		p := l.Pools[0]
-		p.User, p.Mode, p.Name = "keeper", Session, "keepers"
+		p.User, p.Mode, p.Name = "keeper", SessionMode, "keepers"
 		l.Pools[0].MaxSticky, l.Pools[0].Sizes.MaxConnections, p.Sizes.MaxConnections = 4, 3, 3
 		l.Pools = []PoolSettings{p, l.Pools[0]}
 		for i := range l.Pools {
@@ -752,7 +754,7 @@
 					_, err = c.Exec(ctx, w.insert(ref))
 				}
 				cancel()
-				code := state(err)
+				code := sqlStateOf(err)
 				if len(code) > 5 {
 					code = "left"
 				}
@@ -766,14 +768,14 @@
 	}
 	rng := rand.New(rand.NewPCG(3, 4))
 	for time.Now().Before(end) {
-		h := at(uint64(1 + rng.IntN(2)))
+		h := assignedTo(uint64(1 + rng.IntN(2)))
 		h.Paused, h.Undecided = rng.IntN(2) == 0, rng.IntN(5) == 0
-		w.homes.set(h)
-		w.gate.shut.Store(rng.IntN(3) == 0)
+		w.assignments.set(h)
+		w.proxy.rejectWrites.Store(rng.IntN(3) == 0)
 		time.Sleep(time.Duration(rng.IntN(60)) * time.Millisecond)
 	}
-	w.gate.shut.Store(false)
-	w.homes.set(at(2))
+	w.proxy.rejectWrites.Store(false)
+	w.assignments.set(assignedTo(2))
 	all.Wait()
 	require.Eventually(t, func() bool {
 		s, h := w.front.Stats(), w.tenantStats()
@@ -793,11 +795,11 @@
 	t.Log(codes, w.front.Stats().RejectedByHost)
 	// A later transaction is queued and released as usual.
 	c := w.connect("")
-	w.homes.set(paused(2))
-	wait := later(c, w.insert("last"))
+	w.assignments.set(pausedAt(2))
+	wait := execAsync(c, w.insert("last"))
 	w.requireQueued(1)
 	require.Zero(t, w.tenantStats().InFlight)
-	w.homes.set(at(2))
+	w.assignments.set(assignedTo(2))
 	require.NoError(t, <-wait)
 }
 
@@ -808,12 +810,12 @@
 		name        string
 		assignments []Assignments
 		isNamed     bool
-	}{{name: "without"}, {"unnamed", []Assignments{&told{}}, false}, {"named", []Assignments{&told{}}, true}} {
+	}{{name: "without"}, {"unnamed", []Assignments{&fakeAssignments{}}, false}, {"named", []Assignments{&fakeAssignments{}}, true}} {
 		b.Run(c.name, func(b *testing.B) {
 			if c.isNamed {
-				c.assignments[0].(*told).set(at(1))
+				c.assignments[0].(*fakeAssignments).set(assignedTo(1))
 			}
-			w := pool(b, nil, c.assignments...)
+			w := startPooler(b, nil, c.assignments...)
 			conn, err := net.Dial("tcp", w.address)
 			require.NoError(b, err)
 			defer conn.Close()
@@ -845,10 +847,10 @@
 // Measures only the work that assignments add to a transaction: two lookups, the admission, and the copy of
 // the statement.
 func BenchmarkHomesOfATransaction(b *testing.B) {
-	h := &told{}
-	h.set(at(1))
+	h := &fakeAssignments{}
+	h.set(assignedTo(1))
 	f := &SessionFront{clock: clock.System()}
-	f.limits.Store(&SessionLimits{MaxPausedTransactions: 10, Bytes: 1 << 20})
+	f.limits.Store(&SessionLimits{MaxPausedTransactions: 10, MaxBytes: 1 << 20})
 	f.SetAssignments(h)
 	p := PoolSettings{MaxPausedTransactions: 10, MaxPauseMillis: 1000}
 	c := &sessionClient{
@@ -866,7 +868,7 @@
 	for b.Loop() {
 		now := f.clock.Now()
 		assignment := h.Assignment("orders", now)
-		if held, err := f.tenancy.tenants.Admit(now, c.tenancy.tenant, assignment, &c.tenancy.entry, f.queueBounds(c.pool)); held || err != nil {
+		if held, err := f.tenancy.tenants.Admit(now, c.tenancy.tenant, assignment, &c.tenancy.entry, f.queueLimits(c.pool)); held || err != nil {
 			b.Fatal(err)
 		}
 		group, _ := assignment.GroupFor("orders", &c.routing.route)
--- a/internal/net/pg/late_test.go
+++ b/internal/net/pg/late_test.go
@@ -23,7 +23,7 @@
 	dispatch.Outcome
 }
 
-func (r *rig) listenLate() chan lateAnswer {
+func (r *poolFixture) recordLateAnswers() chan lateAnswer {
 	lateAnswers := make(chan lateAnswer, 4)
 	r.lateAnswerWindow = 30 * time.Second
 	r.OnLateAnswer(func(host string, sent float64, write bool, o dispatch.Outcome) {
@@ -43,8 +43,8 @@
 	}
 }
 
-// stop blocks the event loop until the returned function is called. When stop returns, the loop is blocked.
-func (r *rig) stop(t *testing.T, l gnet.EventLoop) (resume func()) {
+// blockLoop blocks the event loop until the returned function is called. When blockLoop returns, the loop is blocked.
+func (r *poolFixture) blockLoop(t *testing.T, l gnet.EventLoop) (resume func()) {
 	held, release := make(chan struct{}), make(chan struct{})
 	require.NoError(t, l.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
 		close(held)
@@ -55,14 +55,14 @@
 	return func() { close(release) }
 }
 
-func (r *rig) acquired(t *testing.T) *conn {
+func (r *poolFixture) mustAcquire(t *testing.T) *conn {
 	c, err := r.acquire(context.Background(), "h")
 	require.NoError(t, err)
 	return c
 }
 
-func parsedPlain(t *testing.T) *sqlcomment.Statement {
-	s, err := sqlcomment.Parse(plain)
+func parsedPlainQuery(t *testing.T) *sqlcomment.Statement {
+	s, err := sqlcomment.Parse(plainQuery)
 	require.NoError(t, err)
 	return &s
 }
@@ -78,7 +78,7 @@
 	_ = b.Flush()
 }
 
-const plain = "/* id=1,c=a,d=900,cluster=1 */ SELECT payload"
+const plainQuery = "/* id=1,c=a,d=900,cluster=1 */ SELECT payload"
 
 // A host that hung comes back as a replica and answers a request at the moment at which the pooler cancels it.
 // No client gets the answer, but it must be reported as a late answer, so that the role and
@@ -86,18 +86,18 @@
 func TestLateAnswerAfterCancellationIsReported(t *testing.T) {
 	queryReceived, ended := make(chan struct{}), make(chan struct{})
 	r := start(t, func(c net.Conn, b *pgproto3.Backend) {
-		welcome(b)
+		completeHandshake(b)
 		_, _ = b.Receive()
 		close(queryReceived)
 		_, _ = b.Receive() // the pooler shuts down its sending direction: the attempt is canceled
 		close(ended)
 		sendReplicaAnswer(b, "999999999000")
 	})
-	lateAnswers := r.listenLate()
+	lateAnswers := r.recordLateAnswers()
 	ctx, cancelAttempt := context.WithCancel(context.Background())
 	codes := make(chan dispatch.Code, 1)
-	c := r.acquired(t)
-	go func() { codes <- c.Exchange(ctx, parsedPlain(t), open).Code }()
+	c := r.mustAcquire(t)
+	go func() { codes <- c.Exchange(ctx, parsedPlainQuery(t), open).Code }()
 	<-queryReceived
 	cancelAttempt()
 	require.Equal(t, dispatch.Cancelled, <-codes)
@@ -111,7 +111,7 @@
 func TestUnreadAnswerAtCancellationIsReported(t *testing.T) {
 	queryReceived, answer, answered := make(chan struct{}), make(chan struct{}), make(chan struct{})
 	r := start(t, func(c net.Conn, b *pgproto3.Backend) {
-		welcome(b)
+		completeHandshake(b)
 		_, _ = b.Receive()
 		close(queryReceived)
 		<-answer
@@ -119,13 +119,13 @@
 		close(answered)
 		_, _ = b.Receive()
 	})
-	lateAnswers := r.listenLate()
+	lateAnswers := r.recordLateAnswers()
 	ctx, cancelAttempt := context.WithCancel(context.Background())
 	codes := make(chan dispatch.Code, 1)
-	c := r.acquired(t)
-	go func() { codes <- c.Exchange(ctx, parsedPlain(t), open).Code }()
+	c := r.mustAcquire(t)
+	go func() { codes <- c.Exchange(ctx, parsedPlainQuery(t), open).Code }()
 	<-queryReceived
-	resume := r.stop(t, c.gnetConn.EventLoop())
+	resume := r.blockLoop(t, c.gnetConn.EventLoop())
 	close(answer)
 	<-answered
 	cancelAttempt()
@@ -137,14 +137,14 @@
 // If the answer comes before the cancellation, it is the reply of its attempt and is not reported as late.
 func TestAnswerBeforeCancellationIsServed(t *testing.T) {
 	r := start(t, func(c net.Conn, b *pgproto3.Backend) {
-		welcome(b)
+		completeHandshake(b)
 		_, _ = b.Receive()
 		sendReplicaAnswer(b, "999999999000")
 		_, _ = b.Receive()
 	})
-	lateAnswers := r.listenLate()
+	lateAnswers := r.recordLateAnswers()
 	ctx, cancelAttempt := context.WithCancel(context.Background())
-	reply := r.acquired(t).Exchange(ctx, parsedPlain(t), open)
+	reply := r.mustAcquire(t).Exchange(ctx, parsedPlainQuery(t), open)
 	cancelAttempt()
 	require.Equal(t, dispatch.OK, reply.Code)
 	require.Equal(t, dispatch.Replica, reply.Role)
@@ -157,16 +157,16 @@
 func TestCanceledConnectionFreesItsSlotUnderPressure(t *testing.T) {
 	queryReceived := make(chan struct{})
 	r := start(t, func(c net.Conn, b *pgproto3.Backend) {
-		welcome(b)
+		completeHandshake(b)
 		_, _ = b.Receive()
 		close(queryReceived)
 		_, _ = b.Receive()
 	})
-	lateAnswers := r.listenLate()
+	lateAnswers := r.recordLateAnswers()
 	r.SetLimits(PoolLimits{Connections: 1, ConnectTimeout: 300 * time.Millisecond, IdleTimeout: 15 * time.Second})
 	ctx, cancelAttempt := context.WithCancel(context.Background())
 	go func() { <-queryReceived; cancelAttempt() }()
-	require.Equal(t, dispatch.Cancelled, r.acquired(t).Exchange(ctx, parsedPlain(t), open).Code)
+	require.Equal(t, dispatch.Cancelled, r.mustAcquire(t).Exchange(ctx, parsedPlainQuery(t), open).Code)
 	require.Eventually(t, func() bool { r.mu.Lock(); defer r.mu.Unlock(); return r.openConns == 0 }, 10*time.Second, time.Millisecond)
 	require.Empty(t, lateAnswers)
 }
@@ -177,7 +177,7 @@
 	for _, probe := range []bool{false, true} {
 		var received atomic.Int32
 		r := start(t, func(c net.Conn, b *pgproto3.Backend) {
-			welcome(b)
+			completeHandshake(b)
 			for {
 				if _, err := b.Receive(); err != nil {
 					return
@@ -186,10 +186,10 @@
 				sendReplicaAnswer(b, "1")
 			}
 		})
-		c := r.acquired(t)
+		c := r.mustAcquire(t)
 		l := c.gnetConn.EventLoop()
 		c.release()
-		resume := r.stop(t, l)
+		resume := r.blockLoop(t, l)
 		var gateCalls atomic.Int32
 		var gateClosed atomic.Bool
 		codes := make(chan dispatch.Code, 1)
--- a/internal/net/pg/message_test.go
+++ b/internal/net/pg/message_test.go
@@ -11,7 +11,7 @@
 	"ashstand/internal/lifecycle"
 )
 
-func whole() []byte {
+func completeResponse() []byte {
 	b := appendRow(nil, &edge.Answer{Column: "payload", Type: 17, Binary: true, Value: []byte("\x00v"), Tag: "SELECT 1"})
 	b = appendParameterStatus(appendParameterStatus(appendParameterStatus(b, "part", "replica"), "caught_up_to", "1767225600123"), "gauges", "x0=1767225600.123,x1=0")
 	return appendReady(b)
@@ -19,7 +19,7 @@
 
 // Guards against a partial response taken for a complete one: it ends with ReadyForQuery and not before.
 func TestResponseIsParsedOnlyWhenComplete(t *testing.T) {
-	b := whole()
+	b := completeResponse()
 	from := 0
 	for n := range len(b) {
 		end, at, err := findResponseEnd(b[:n], from)
@@ -59,7 +59,7 @@
 
 // Guards against invalid bytes that are taken for a response or a part of one.
 func TestMalformedResponsesAreRejected(t *testing.T) {
-	good := whole()
+	good := completeResponse()
 	for name, b := range map[string][]byte{
 		"a value whose length does not fit": bytes.Replace(good, []byte{0, 0, 0, 2, 0, 'v'}, []byte{0, 0, 0, 9, 0, 'v'}, 1),
 		"an unknown message":                append(appendMessage(nil, '~', func(b []byte) []byte { return b }), good...),
@@ -100,7 +100,7 @@
 // FuzzResponse checks that no bytes of a database host cause a panic, and that the end of a response is found
 // whether it arrives in one piece or in two.
 func FuzzResponse(f *testing.F) {
-	f.Add(whole(), 9)
+	f.Add(completeResponse(), 9)
 	f.Add(appendError(nil, "FATAL", "53300", "x", "y"), 3)
 	f.Add([]byte("T\x00\x00\x00\x06\x00\x01Z\x00\x00\x00\x05I"), 1)
 	f.Fuzz(func(t *testing.T, b []byte, cut int) {
@@ -131,10 +131,10 @@
 			if c.Kind == Incomplete || c.Kind == Malformed {
 				return
 			}
-			require.Greater(t, c.Used, 0)
-			require.LessOrEqual(t, c.Used, len(rest))
+			require.Greater(t, c.Size, 0)
+			require.LessOrEqual(t, c.Size, len(rest))
 			require.False(t, bytes.ContainsRune([]byte(c.Text), 0) && c.Kind != Query)
-			rest = rest[c.Used:]
+			rest = rest[c.Size:]
 		}
 	})
 }
--- a/internal/net/pg/pipeline_end_test.go
+++ b/internal/net/pg/pipeline_end_test.go
@@ -16,10 +16,10 @@
 // The disconnect of a client whose commands are read ahead and rejected is detected as quickly as that of any
 // other client, however much it sent.
 func TestDisconnectOfPipeliningClientIsDetected(t *testing.T) {
-	d, _ := listenGated(t, FrontLimits{Clients: 16, Bytes: 8 << 20, RetryAfterMillis: 300})
+	d, _ := listenGated(t, FrontLimits{MaxClients: 16, MaxUnreadBytes: 8 << 20, RetryAfterMillis: 300})
 	c, written := d.sendAhead(t, "a", 400, 16<<10) // more than the TCP windows of both sides hold
 	<-written
-	d.busy(t, 1)
+	d.waitInFlight(t, 1)
 	c.Close()
 	closed := time.Now()
 	require.Eventually(t, func() bool { return d.count(func(h *client) bool { return h.requestInFlight }) == 0 }, 10*time.Second, time.Millisecond)
@@ -28,10 +28,10 @@
 
 // A Terminate behind many pipelined requests is read, and ends the request in flight.
 func TestTerminateBehindPipelinedRequestsIsRead(t *testing.T) {
-	d, _ := listenGated(t, FrontLimits{Clients: 16, Bytes: 8 << 20, RetryAfterMillis: 300})
+	d, _ := listenGated(t, FrontLimits{MaxClients: 16, MaxUnreadBytes: 8 << 20, RetryAfterMillis: 300})
 	c, written := d.sendAhead(t, "a", 200, 4<<10)
 	<-written
-	d.busy(t, 1)
+	d.waitInFlight(t, 1)
 	_, err := c.Write([]byte{'X', 0, 0, 0, 4})
 	require.NoError(t, err)
 	require.Eventually(t, func() bool { return d.count(func(h *client) bool { return h.requestInFlight }) == 0 }, 10*time.Second, time.Millisecond)
@@ -41,14 +41,14 @@
 // sent ahead.
 func TestShutdownAnswersEveryPipelinedRequest(t *testing.T) {
 	const requests = 150
-	d, _ := listenGated(t, FrontLimits{Clients: 16, Bytes: 8 << 20, RetryAfterMillis: 300})
+	d, _ := listenGated(t, FrontLimits{MaxClients: 16, MaxUnreadBytes: 8 << 20, RetryAfterMillis: 300})
 	c, written := d.sendAhead(t, "a", requests, 4<<10)
 	<-written
 	require.Eventually(t, func() bool {
-		return d.count(func(h *client) bool { return h.requestInFlight && h.queue.commands() == requests-1 }) == 1
+		return d.count(func(h *client) bool { return h.requestInFlight && h.queue.commandCount() == requests-1 }) == 1
 	}, 10*time.Second, time.Millisecond, "all requests were read")
 	d.Drain()
-	d.Cut()
+	d.CloseClients()
 	answers := answersOf(t, c, requests)
 	require.Len(t, answers, requests)
 	require.Equal(t, "ERROR 57P01", answers[0], "the request may have run")
@@ -62,9 +62,9 @@
 // disconnect it.
 func TestShortAnswersWaitForSlowReader(t *testing.T) {
 	const commands = 400_000
-	d := listen(t, FrontLimits{Clients: 16, Bytes: 8 << 20, RetryAfterMillis: 300})
-	c := d.call(t, "")
-	require.Equal(t, []string{"empty"}, errorsOf(t, c, 1))
+	d := startFront(t, FrontLimits{MaxClients: 16, MaxUnreadBytes: 8 << 20, RetryAfterMillis: 300})
+	c := d.connect(t, "")
+	require.Equal(t, []string{"empty"}, readReplies(t, c, 1))
 	_ = c.(*net.TCPConn).SetReadBuffer(128 << 10)
 	d.onLoop(t, func(_ *client, g gnet.Conn) { require.NoError(t, g.SetWriteBuffer(128<<10)) })
 	sync := appendMessage(nil, 'S', func(b []byte) []byte { return b })
@@ -79,7 +79,7 @@
 	}()
 	require.Eventually(t, func() bool {
 		held := false
-		d.on(func() {
+		d.runOnLoop(func() {
 			for _, g := range d.clients {
 				held = held || g.OutboundBuffered() > 0
 			}
@@ -97,8 +97,8 @@
 // only one to its request, and the request behind it, which never ran, is rejected. A client that got a
 // second answer to the first request would take it for the answer to the second.
 func TestShutdownSendsNoSecondAnswer(t *testing.T) {
-	d := listen(t, FrontLimits{Clients: 16, Bytes: 8 << 20})
-	c := d.call(t, "")
+	d := startFront(t, FrontLimits{MaxClients: 16, MaxUnreadBytes: 8 << 20})
+	c := d.connect(t, "")
 	require.Eventually(t, func() bool { return d.count(func(h *client) bool { return h.hasRequested }) == 1 }, 10*time.Second, time.Millisecond)
 	_ = c.(*net.TCPConn).SetReadBuffer(16 << 10)
 	d.onLoop(t, func(h *client, g gnet.Conn) {
@@ -111,13 +111,13 @@
 		h.answer(g, &statement, &result, EncodeResult(&result), d.clock.Now())
 		require.Positive(t, g.OutboundBuffered())
 	})
-	d.Cut()
+	d.CloseClients()
 	require.Equal(t, []string{"", "served", "FATAL 57P03"}, answersOf(t, c, 3), "the first was an empty query")
 	require.Empty(t, d.violations(t))
 }
 
-// commands returns the number of commands that wait.
-func (q *commandQueue) commands() (n int) {
+// commandCount returns the number of commands that wait.
+func (q *commandQueue) commandCount() (n int) {
 	for _, r := range q.runs {
 		n += r.count
 	}
--- a/internal/net/pg/pipeline_test.go
+++ b/internal/net/pg/pipeline_test.go
@@ -19,7 +19,7 @@
 
 // gatedBackend is a backend with one host, which answers once the channel open is closed.
 type gatedBackend struct {
-	nowhere
+	unreachableBackend
 	open chan struct{}
 }
 
@@ -29,10 +29,10 @@
 	select {
 	case <-b.open:
 	case <-ctx.Done():
-		return edge.NotSent()
+		return edge.NotSentReply()
 	}
 	if _, ok := gate(); !ok {
-		return edge.NotSent()
+		return edge.NotSentReply()
 	}
 	return edge.Reply{
 		Outcome: dispatch.Outcome{Code: dispatch.OK, Role: dispatch.Primary},
@@ -41,23 +41,23 @@
 }
 
 // listenGated starts a front before a host that answers once the returned channel is closed.
-func listenGated(t *testing.T, limits FrontLimits) (*door, chan struct{}) {
-	d := listen(t, limits)
+func listenGated(t *testing.T, limits FrontLimits) (*frontFixture, chan struct{}) {
+	d := startFront(t, limits)
 	open := make(chan struct{})
-	d.call(t, "")
+	d.connect(t, "")
 	require.Eventually(t, func() bool { return d.count(func(h *client) bool { return h.hasRequested }) == 1 }, 10*time.Second, time.Millisecond)
-	d.on(func() { d.edge = edge.New(d.facade, d.clock, &gatedBackend{open: open}) })
+	d.runOnLoop(func() { d.edge = edge.New(d.dispatcher, d.clock, &gatedBackend{open: open}) })
 	return d, open
 }
 
 // advanceClock advances the clock and runs the dispatcher's timers until stop is called. Without that, the
 // requests beyond the few that a host takes at a time would never be routed.
-func (d *door) advanceClock() (stop func()) {
+func (d *frontFixture) advanceClock() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		for ctx.Err() == nil {
 			d.clock.Advance(1)
-			d.facade.Tick()
+			d.dispatcher.Tick()
 			time.Sleep(time.Millisecond)
 		}
 	}()
@@ -71,7 +71,7 @@
 
 // sendAhead pipelines requests of about size bytes each on a goroutine. The returned channel is closed once
 // all are written.
-func (d *door) sendAhead(t *testing.T, name string, requests, size int) (net.Conn, chan struct{}) {
+func (d *frontFixture) sendAhead(t *testing.T, name string, requests, size int) (net.Conn, chan struct{}) {
 	c, err := net.Dial("tcp", d.address)
 	require.NoError(t, err)
 	t.Cleanup(func() { c.Close() })
@@ -131,7 +131,7 @@
 // because its connection is closed.
 func TestEveryPipelinedRequestIsAnswered(t *testing.T) {
 	const requests, size = 200, 4 << 10
-	d, open := listenGated(t, FrontLimits{Clients: 16, Bytes: maxUnreadBytes * readAheadFraction, RetryAfterMillis: 300})
+	d, open := listenGated(t, FrontLimits{MaxClients: 16, MaxUnreadBytes: maxUnreadBytes * readAheadFraction, RetryAfterMillis: 300})
 	c, written := d.sendAhead(t, "a", requests, size)
 	<-written
 	require.Eventually(t, func() bool {
@@ -143,24 +143,24 @@
 	require.GreaterOrEqual(t, countServed(t, answers), maxUnreadBytes/2/size)
 	require.Equal(t, "served", answers[0])
 	require.Contains(t, answers, "ERROR 53300", "more was sent than the read-ahead limit")
-	d.on(func() { require.LessOrEqual(t, d.unreadBytes, 0) })
+	d.runOnLoop(func() { require.LessOrEqual(t, d.unreadBytes, 0) })
 }
 
 // Several clients together pipeline more than the limit for all clients. The limit holds, and every request
 // is answered.
 func TestPipelinedRequestsOfManyClientsAreAnswered(t *testing.T) {
 	const clients, requests, size, bound = 12, 40, 4 << 10, 512 << 10
-	d, open := listenGated(t, FrontLimits{Clients: 64, Bytes: bound, RetryAfterMillis: 300})
+	d, open := listenGated(t, FrontLimits{MaxClients: 64, MaxUnreadBytes: bound, RetryAfterMillis: 300})
 	var all []net.Conn
 	for i := range clients {
 		c, written := d.sendAhead(t, fmt.Sprint("c", i), requests, size)
 		<-written
 		all = append(all, c)
 	}
-	d.busy(t, clients)
+	d.waitInFlight(t, clients)
 	require.Eventually(t, func() bool {
 		held := 0
-		d.on(func() { held = d.unreadBytes })
+		d.runOnLoop(func() { held = d.unreadBytes })
 		return held > bound/2 && held <= bound
 	}, 10*time.Second, time.Millisecond)
 	close(open)
--- a/internal/net/pg/pool.go
+++ b/internal/net/pg/pool.go
@@ -9,8 +9,8 @@
 	"ashstand/internal/net/loop"
 )
 
-// Names are the configurable names that the pooler uses when it talks to database hosts.
-type Names struct {
+// WireNames are the configurable names that the pooler uses when it talks to database hosts.
+type WireNames struct {
 	// User and Database go into the startup message.
 	User, Database string
 	// Role, Position and Gauges are the parameters in which a host reports its role, its log position and its
@@ -21,7 +21,7 @@
 }
 
 // Platform holds the names that the database platform uses.
-var Platform = Names{
+var Platform = WireNames{
 	User:     "web",
 	Database: "orders",
 	Role:     "part",
@@ -50,13 +50,13 @@
 	// Listed reports whether new work, handshakes included, may be sent to a host. It must be set before the
 	// pool is first used; nil permits every host.
 	Listed func(name string) bool
-	// Handshaking, if not nil, is called before each handshake with a host. It must be set before the pool is
+	// OnHandshake, if not nil, is called before each handshake with a host. It must be set before the pool is
 	// first used.
-	Handshaking func(name string)
+	OnHandshake func(name string)
 
 	engine *loop.Engine
 	clock  clock.Clock
-	names  Names
+	names  WireNames
 
 	onLateAnswer      LateAnswerFunc // may be nil
 	lateAnswerWindow  time.Duration  // the constant of that name, unless a test overrides it
@@ -97,7 +97,7 @@
 type abandonedDial struct{ cancel func() }
 
 // NewPool returns a pool whose connections are served by engine.
-func NewPool(engine *loop.Engine, c clock.Clock, names Names, limits PoolLimits) *Pool {
+func NewPool(engine *loop.Engine, c clock.Clock, names WireNames, limits PoolLimits) *Pool {
 	return &Pool{
 		engine: engine, clock: c, names: names, limits: limits, hosts: map[string]*host{},
 		lateAnswerWindow: lateAnswerWindow,
--- a/internal/net/pg/pool_acquire.go
+++ b/internal/net/pg/pool_acquire.go
@@ -176,8 +176,8 @@
 	if err := p.checkUsable(c); err != nil { // a handshake is new work for the host
 		return err
 	}
-	if p.Handshaking != nil {
-		p.Handshaking(c.name)
+	if p.OnHandshake != nil {
+		p.OnHandshake(c.name)
 	}
 	result := c.roundTrip(ctx, func() []byte { return startupMessage(p.names.User, p.names.Database) }, nil)
 	switch {
--- a/internal/net/pg/pool_exchange.go
+++ b/internal/net/pg/pool_exchange.go
@@ -34,7 +34,7 @@
 	})
 	if errors.Is(result.err, errGateClosed) {
 		c.release()
-		return edge.NotSent(), 0
+		return edge.NotSentReply(), 0
 	}
 	c.mu.Lock()
 	writtenAt = c.writtenAt
--- a/internal/net/pg/pool_test.go
+++ b/internal/net/pg/pool_test.go
@@ -18,22 +18,22 @@
 	"ashstand/internal/sqlcomment"
 )
 
-// rig is a pool with one fake host, whose accepted connections are sent to conns.
-type rig struct {
+// poolFixture is a pool with one fake host, whose accepted connections are sent to conns.
+type poolFixture struct {
 	*Pool
 	clock *clock.Manual
 	conns chan net.Conn
 }
 
 // start starts a pool and a fake host "h" that runs serve for each connection.
-func start(t *testing.T, serve func(c net.Conn, b *pgproto3.Backend)) *rig {
+func start(t *testing.T, serve func(c net.Conn, b *pgproto3.Backend)) *poolFixture {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
 	e := loop.New()
 	require.NoError(t, e.Start("127.0.0.1:0", func(gnet.Conn) (loop.Handler, []byte, gnet.Action) { return nil, nil, gnet.Close }))
 	t.Cleanup(e.Stop)
-	r := &rig{clock: clock.NewManual(1e12), conns: make(chan net.Conn, 16)}
+	r := &poolFixture{clock: clock.NewManual(1e12), conns: make(chan net.Conn, 16)}
 	r.Pool = NewPool(e, r.clock, Platform, PoolLimits{Connections: 4, ConnectTimeout: 300 * time.Millisecond, IdleTimeout: 15 * time.Second})
 	r.SetAddress("h", l.Addr().String())
 	go func() {
@@ -49,17 +49,17 @@
 	return r
 }
 
-// welcome completes the handshake.
-func welcome(b *pgproto3.Backend) {
+// completeHandshake completes the handshake.
+func completeHandshake(b *pgproto3.Backend) {
 	_, _ = b.ReceiveStartupMessage()
 	b.Send(&pgproto3.AuthenticationOk{})
 	b.Send(&pgproto3.ReadyForQuery{TxStatus: 'I'})
 	_ = b.Flush()
 }
 
-// good completes the handshake and answers every query.
-func good(_ net.Conn, b *pgproto3.Backend) {
-	for welcome(b); ; _ = b.Flush() {
+// answerQueries completes the handshake and answers every query.
+func answerQueries(_ net.Conn, b *pgproto3.Backend) {
+	for completeHandshake(b); ; _ = b.Flush() {
 		if _, err := b.Receive(); err != nil {
 			return
 		}
@@ -72,11 +72,11 @@
 
 func open() (float64, bool) { return 500, true }
 
-func (r *rig) exchange(t *testing.T, gate edge.Gate) edge.Reply {
+func (r *poolFixture) exchange(t *testing.T, gate edge.Gate) edge.Reply {
 	return r.send(t, "/* id=1,c=a,d=900,cluster=1 */ SELECT payload", gate)
 }
 
-func (r *rig) send(t *testing.T, text string, gate edge.Gate) edge.Reply {
+func (r *poolFixture) send(t *testing.T, text string, gate edge.Gate) edge.Reply {
 	ctx, cancel := context.WithTimeout(context.Background(), 500*time.Millisecond)
 	defer cancel()
 	c, err := r.Acquire(ctx, "h")
@@ -89,7 +89,7 @@
 // Guards against a request written to an idle connection that its host is about to close: the request ends in
 // a reset, and a write is lost.
 func TestIdleConnectionsExpireBeforeHostTimeout(t *testing.T) {
-	r := start(t, good)
+	r := start(t, answerQueries)
 	require.Equal(t, dispatch.OK, r.exchange(t, open).Code)
 	r.clock.Advance(9000)
 	require.Equal(t, dispatch.OK, r.exchange(t, open).Code)
@@ -104,7 +104,7 @@
 
 // Guards against a late answer that is given to the next request on the same connection.
 func TestConnectionAwaitingResponseIsNotReused(t *testing.T) {
-	r := start(t, func(c net.Conn, b *pgproto3.Backend) { welcome(b) }) // answers nothing
+	r := start(t, func(c net.Conn, b *pgproto3.Backend) { completeHandshake(b) }) // answers nothing
 	require.Equal(t, dispatch.NoAnswer, r.exchange(t, open).Code)
 	require.Equal(t, dispatch.NoAnswer, r.exchange(t, open).Code)
 	require.Len(t, r.conns, 2)
@@ -115,7 +115,7 @@
 func TestBytesAfterResponseCloseConnection(t *testing.T) {
 	second := make(chan struct{})
 	r := start(t, func(c net.Conn, b *pgproto3.Backend) {
-		for welcome(b); ; {
+		for completeHandshake(b); ; {
 			m, err := b.Receive()
 			if err != nil {
 				return
@@ -126,11 +126,11 @@
 				copies = 2
 			}
 			for range copies {
-				out = append(out, whole()...)
+				out = append(out, completeResponse()...)
 			}
 			_, _ = c.Write(out)
 			if strings.Contains(m.(*pgproto3.Query).String, "later") {
-				_, _ = c.Write(whole())
+				_, _ = c.Write(completeResponse())
 				close(second)
 			}
 		}
@@ -160,7 +160,7 @@
 	}
 	for i, noise := range malformed {
 		r := start(t, func(c net.Conn, b *pgproto3.Backend) {
-			welcome(b)
+			completeHandshake(b)
 			_, _ = b.Receive()
 			_, _ = c.Write(noise)
 			_, _ = b.Receive()
@@ -179,7 +179,7 @@
 // limits being reported as a fault of the host.
 func TestPoolLimits(t *testing.T) {
 	r := start(t, func(c net.Conn, b *pgproto3.Backend) {
-		welcome(b)
+		completeHandshake(b)
 		_, _ = b.Receive()
 		_, _ = c.Write(append([]byte{'D', 0, 0, 0xff, 0}, make([]byte, 30<<10)...)) // and the rest never comes
 		_, _ = b.Receive()
@@ -198,7 +198,7 @@
 
 // If the gate does not open, nothing is written, and the next request uses the connection.
 func TestClosedGateWritesNothing(t *testing.T) {
-	r := start(t, good)
+	r := start(t, answerQueries)
 	require.Equal(t, dispatch.NotSent, r.exchange(t, func() (float64, bool) { return 0, false }).Code)
 	require.Equal(t, dispatch.OK, r.exchange(t, open).Code)
 	require.Len(t, r.conns, 1)
--- a/internal/net/pg/response.go
+++ b/internal/net/pg/response.go
@@ -67,7 +67,7 @@
 
 // parseResponse parses a complete response strictly: any message that is not expected in the answer to a query
 // is an error. Values are copied because b belongs to the event loop.
-func parseResponse(b []byte, names Names) (r response, err error) {
+func parseResponse(b []byte, names WireNames) (r response, err error) {
 	first := true
 	for len(b) > 0 {
 		kind, body, rest, ok, err := nextMessage(b, maxServerMessageBytes)
@@ -85,7 +85,7 @@
 
 // parseMessage parses one message of the response. It returns false if the message is malformed or not expected
 // at this point.
-func (r *response) parseMessage(kind byte, body []byte, names Names, first, last bool) bool {
+func (r *response) parseMessage(kind byte, body []byte, names WireNames, first, last bool) bool {
 	switch kind {
 	case serverRowDescription:
 		ok := !r.described && r.sqlState == "" && r.parseRowDescription(body)
@@ -118,7 +118,7 @@
 
 // parseParameterStatus records a reported parameter. An invalid log position or load report is ignored, without
 // an error.
-func (r *response) parseParameterStatus(body []byte, names Names) bool {
+func (r *response) parseParameterStatus(body []byte, names WireNames) bool {
 	name, value, ok := cutParameter(body)
 	if !ok {
 		return false
--- a/internal/net/pg/server_conn.go
+++ b/internal/net/pg/server_conn.go
@@ -28,9 +28,9 @@
 	if had && old == value {
 		return p
 	}
-	n := &parameterSet{values: maps.Clone(p.values), fingerprint: p.fingerprint + f.hash(name, value)}
+	n := &parameterSet{values: maps.Clone(p.values), fingerprint: p.fingerprint + f.hashParameter(name, value)}
 	if had {
-		n.fingerprint -= f.hash(name, old)
+		n.fingerprint -= f.hashParameter(name, old)
 	}
 	n.values[name] = value
 	return n
@@ -123,7 +123,7 @@
 		p.connectFailed(errHostUnavailable)
 		return
 	}
-	f.dispatcher.SlowStartHandshake(p.host.name)
+	f.dispatcher.CountHandshake(p.host.name)
 	s.wire.Write(startupMessage(p.key.user, p.key.database))
 	time.AfterFunc(timeRemaining, func() { // a host that is not ready by then counts as unreachable
 		f.onLoop(func() {
--- a/internal/net/pg/server_pool.go
+++ b/internal/net/pg/server_pool.go
@@ -21,13 +21,13 @@
 
 // serverPool holds the connections to one host for one database and user.
 type serverPool struct {
-	host     *sessionHost
-	key      poolIdentity
-	idle     []*serverConn // the most recently used connection is last
-	open     int           // connections that are open or being opened
-	dialing  int           // connections being opened
-	retained int           // connections of sessions that keep theirs: pinned sessions, and those in session mode
-	queue    session.Queue // sessions that wait for a connection
+	host        *sessionHost
+	key         poolIdentity
+	idle        []*serverConn // the most recently used connection is last
+	open        int           // connections that are open or being opened
+	dialing     int           // connections being opened
+	stickyConns int           // connections of sessions that keep theirs: pinned sessions, and those in session mode
+	queue       session.Queue // sessions that wait for a connection
 }
 
 // maxPoolSearch is how many of the most recently used connections are searched for one that already has a
@@ -97,7 +97,7 @@
 		code = dispatch.NotSent
 	}
 	if w := p.queue.Next(0, nil); w != nil {
-		w.Owner.(*sessionClient).retryRouting(dispatch.NeverBegun(code))
+		w.Owner.(*sessionClient).retryRouting(dispatch.NotBegunOutcome(code))
 	}
 }
 
@@ -157,7 +157,7 @@
 		return
 	}
 	for n := p.queue.Len() - p.dialing; n > 0 && p.open < p.capacity(ps); n-- {
-		if f.servers.count >= l.Servers && !f.evictIdle() {
+		if f.servers.count >= l.MaxServerConnections && !f.evictIdle() {
 			return
 		}
 		f.openServerConn(p)
@@ -167,5 +167,5 @@
 // capacity is the maximum number of connections of the pool. The part of the reserve for sticky sessions that
 // they do not use is left out.
 func (p *serverPool) capacity(ps *PoolSettings) int {
-	return max(1, ps.Sizes.MaxConnections-max(0, ps.ReservedForSticky-p.retained))
+	return max(1, ps.Sizes.MaxConnections-max(0, ps.ReservedForSticky-p.stickyConns))
 }
--- a/internal/net/pg/server_relay.go
+++ b/internal/net/pg/server_relay.go
@@ -146,7 +146,7 @@
 	tenantClosed := m.kind == serverError && c.record.active && c.isTenantClosedError(m.detail, m.text)
 	action := c.pipeline.HandleServerMessage(m.kind, m.detail)
 	switch {
-	case tenantClosed && c.pipeline.Expected() == 1 && !action.Drop && action.Replacement == nil: // nothing ran, and nothing of this response was sent to the client
+	case tenantClosed && c.pipeline.ExpectedReplies() == 1 && !action.Drop && action.Replacement == nil: // nothing ran, and nothing of this response was sent to the client
 		r.consumed += m.size
 		r.out, r.forwardFrom = r.out[:0], r.consumed
 		c.phase = phaseRejectedByHost
@@ -156,9 +156,9 @@
 	case action.Unexpected:
 		r.err = fmt.Errorf("%w: %q", errUnexpectedMessage, m.kind)
 		return relayContinue
-	case action.Injected && action.Failed:
+	case action.SettingsApplied && action.Failed:
 		return relaySettingsFailed
-	case action.Injected:
+	case action.SettingsApplied:
 		return relaySettingsRestored
 	case m.kind == serverParameterStatus && c.phase == phaseRestoring:
 		action.Drop = true // changed parameters are sent to the client once all settings are restored
@@ -194,7 +194,7 @@
 		c.recovery.settingsError = m.detail + " " + m.text
 	}
 	if m.detail == sqlStateReadOnlyTransaction {
-		c.routing.misplaced = true
+		c.routing.misdirected = true
 	}
 }
 
@@ -252,7 +252,7 @@
 		return errHostClosing
 	}
 	if c.wire.UnsentBytes() > highWaterBytes {
-		f.suspendUntil(&s.wire, func() bool { return c.disconnected || c.wire.UnsentBytes() < lowWaterBytes })
+		f.pauseReadsUntil(&s.wire, func() bool { return c.disconnected || c.wire.UnsentBytes() < lowWaterBytes })
 	}
 	if r.idle {
 		c.releaseServer(s)
--- a/internal/net/pg/session_backpressure.go
+++ b/internal/net/pg/session_backpressure.go
@@ -16,9 +16,9 @@
 	resumeScheduled bool
 }
 
-// suspendUntil pauses reads from a connection until mayResume reports true. That is checked every
+// pauseReadsUntil pauses reads from a connection until mayResume reports true. That is checked every
 // resumeInterval.
-func (f *SessionFront) suspendUntil(source *loop.PausableConn, mayResume func() bool) {
+func (f *SessionFront) pauseReadsUntil(source *loop.PausableConn, mayResume func() bool) {
 	if _, isPaused := f.backpressure.paused[source]; isPaused {
 		return
 	}
--- a/internal/net/pg/session_cancel.go
+++ b/internal/net/pg/session_cancel.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	disableCancelGuarantee = "cancel" // see SessionFront.Break
+	disableCancelGuarantee = "cancel" // see SessionFront.DisableGuarantee
 	// neverDelivered replaces the count of pending cancel requests while the cancel guarantee is disabled. It
 	// is negative, so that returnToPool does not wait for the requests, and no number of deliveries changes
 	// it to 0, so that cancelDelivered does not return the connection a second time.
@@ -43,7 +43,7 @@
 		c.routing.waiter.Dequeue()
 		call := c.routing.call
 		c.routing.call = nil
-		call.Finish(dispatch.NeverBegun(dispatch.NotSent))
+		call.Finish(dispatch.NotBegunOutcome(dispatch.NotSent))
 		c.dequeue()
 		c.rejectCancelled()
 		c.resume()
@@ -57,7 +57,7 @@
 		c.routing.cancelRequested = true
 		return
 	}
-	if c.server != nil && c.pipeline.Expected() > 0 {
+	if c.server != nil && c.pipeline.ExpectedReplies() > 0 {
 		f.forwardCancel(c.server)
 	}
 }
@@ -125,7 +125,7 @@
 	}
 	call := c.routing.call
 	c.routing.cancelRequested, c.routing.call = false, nil
-	call.Finish(dispatch.NeverBegun(dispatch.NotSent))
+	call.Finish(dispatch.NotBegunOutcome(dispatch.NotSent))
 	c.finishRelease()
 	c.rejectCancelled()
 	return true
--- a/internal/net/pg/session_client.go
+++ b/internal/net/pg/session_client.go
@@ -68,11 +68,11 @@
 	reading     bool // readMessages is running
 	readAgain   bool // readMessages has to make another round
 	blocked     bool // the next message waits until an operation under way is done
-	// handling is set while handleUnlinked routes the pending message. Its caller continues with the input
+	// routingPending is set while handleUnlinked routes the pending message. Its caller continues with the input
 	// afterwards, so resume is not called meanwhile.
-	handling    bool
-	pendingKind byte      // kind of the message that waits to be routed; 0: none
-	ahead       readAhead // scan position in the input behind a message that waits
+	routingPending bool
+	pendingKind    byte      // kind of the message that waits to be routed; 0: none
+	ahead          readAhead // scan position in the input behind a message that waits
 }
 
 // routingState is the routing of a client's transaction, from its first message to its first ReadyForQuery.
@@ -85,7 +85,7 @@
 	request         dispatch.Request
 	readOnly        bool
 	writeClass      bool    // the request class is one of writes
-	misplaced       bool    // the host rejected a write because it is read-only
+	misdirected     bool    // the host rejected a write because it is read-only
 	cancelRequested bool    // a cancel request came when it could not be handled at once
 	minPosition     float64 // minimum position for the session's reads
 }
@@ -93,7 +93,7 @@
 // retentionState records why a session keeps its server connection between transactions. The event loop owns
 // it.
 type retentionState struct {
-	counted          bool                // the session is included in its pool's retained count
+	counted          bool                // the session is included in its pool's stickyConns
 	stickyCause      session.StickyCause // the cause under which clientRegistry.stickyCounts counts the session; "": none
 	transactionBegun bool                // a transaction has begun on the retained connection, perhaps with no reply due yet
 }
@@ -166,18 +166,18 @@
 		return gnet.None
 	}
 	action := c.readMessages()
-	if action == gnet.None && c.isWaiting() && c.input.ahead.hasTerminate(c.wire.BufferedBytes(), func(int) ([]byte, error) { return c.wire.Peek(), nil }, c.front.limits.Load().Message) {
+	if action == gnet.None && c.isWaiting() && c.input.ahead.hasTerminate(c.wire.BufferedBytes(), func(int) ([]byte, error) { return c.wire.Peek(), nil }, c.front.limits.Load().MaxMessageBytes) {
 		return gnet.Close
 	}
 	f := c.front
 	unreadBytes := c.countUnread()
 	limits := f.limits.Load()
-	if c.phase == phaseTenantPaused && !c.disconnected && !f.tenancy.tenants.Grow(&c.tenancy.entry, c.waitingBytes(), f.queueBounds(c.pool)) {
-		f.suspendUntil(&c.wire, c.mayResume)
+	if c.phase == phaseTenantPaused && !c.disconnected && !f.tenancy.tenants.Grow(&c.tenancy.entry, c.waitingBytes(), f.queueLimits(c.pool)) {
+		f.pauseReadsUntil(&c.wire, c.mayResume)
 	}
-	if unreadBytes > 0 && (unreadBytes > limits.Message+highWaterBytes || f.clients.unreadBytes > limits.Bytes) && !c.disconnected {
-		if unreadBytes >= limits.Message+highWaterBytes || c.phase != phaseLinked && c.phase != phaseUnlinked || c.input.blocked {
-			f.suspendUntil(&c.wire, c.mayResume)
+	if unreadBytes > 0 && (unreadBytes > limits.MaxMessageBytes+highWaterBytes || f.clients.unreadBytes > limits.MaxBytes) && !c.disconnected {
+		if unreadBytes >= limits.MaxMessageBytes+highWaterBytes || c.phase != phaseLinked && c.phase != phaseUnlinked || c.input.blocked {
+			f.pauseReadsUntil(&c.wire, c.mayResume)
 		}
 	}
 	return action
@@ -276,7 +276,7 @@
 	}
 	out = c.writeServer(out)
 	if s.wire.Paused() || s.wire.UnsentBytes() > highWaterBytes {
-		c.front.suspendUntil(&c.wire, func() bool { return c.disconnected || !c.isBlocked() })
+		c.front.pauseReadsUntil(&c.wire, func() bool { return c.disconnected || !c.isBlocked() })
 		return out, false
 	}
 	return out, true
@@ -298,10 +298,10 @@
 func (c *sessionClient) readMessage(out []byte) (_ []byte, more bool, action gnet.Action) {
 	f := c.front
 	b := c.peekInput()
-	kind, body, rest, ok, err := nextMessage(b, f.limits.Load().Message)
+	kind, body, rest, ok, err := nextMessage(b, f.limits.Load().MaxMessageBytes)
 	if err != nil {
 		out = c.writeServer(out)
-		text := fmt.Sprintf("a message's length is out of bounds; %d bytes are allowed", f.limits.Load().Message)
+		text := fmt.Sprintf("a message's length is out of bounds; %d bytes are allowed", f.limits.Load().MaxMessageBytes)
 		return out, false, c.closeWithError(sqlStateProtocolViolation, text, "")
 	}
 	if !ok {
@@ -369,7 +369,7 @@
 		}
 	case c.wire.UnsentBytes() > 0 && now-c.lastActive > maxUnsentMillis:
 		c.wire.Close()
-	case c.phase == phaseLinked && c.server != nil && c.pipeline.Expected() == 0 && c.pipeline.Status() != 'I' && c.pool.IdleInTransactionMillis > 0 && now-c.lastActive > c.pool.IdleInTransactionMillis:
+	case c.phase == phaseLinked && c.server != nil && c.pipeline.ExpectedReplies() == 0 && c.pipeline.Status() != 'I' && c.pool.IdleInTransactionMillis > 0 && now-c.lastActive > c.pool.IdleInTransactionMillis:
 		c.front.stats.IdleInTransaction++
 		s := c.server
 		s.retired = true
--- a/internal/net/pg/session_forward.go
+++ b/internal/net/pg/session_forward.go
@@ -38,7 +38,7 @@
 		}
 		return appendUnlessDropped(out, c.pipeline.Execute(portal), message), true
 	case clientFunctionCall:
-		return appendUnlessDropped(out, c.pipeline.Function(), message), true
+		return appendUnlessDropped(out, c.pipeline.FunctionCall(), message), true
 	}
 	return out, false
 }
@@ -61,7 +61,7 @@
 	if c.routing.query != nil { // it was scanned when the transaction was routed
 		query, c.routing.query = *c.routing.query, nil
 	} else {
-		query = session.Scan(text)
+		query = session.ParseQuery(text)
 	}
 	if reply := c.checkSticky(&query); reply != nil {
 		if !c.pipeline.Reject(true, *reply) {
@@ -195,11 +195,11 @@
 
 // checkPrepared returns the error with which a Parse under this name is rejected, or nil. prepared is nil if
 // there is no memory for the statement.
-func (c *sessionClient) checkPrepared(name string, prepared *session.Prepared) *session.ErrorReply {
+func (c *sessionClient) checkPrepared(name string, prepared *session.PreparedStatement) *session.ErrorReply {
 	p := c.pipeline
 	switch {
 	// The failed block is reported even if a statement of this name is already prepared.
-	case prepared != nil && !prepared.Query.MayFollowError() && p.Status() == statusFailed && p.Expected() == 0:
+	case prepared != nil && !prepared.Query.MayRunInFailedBlock() && p.Status() == statusFailed && p.ExpectedReplies() == 0:
 		return errorInFailedBlock()
 	case name != "" && p.Find(name) != nil:
 		return &session.ErrorReply{SQLState: sqlStateDuplicateStatement, Text: "prepared statement " + strconv.Quote(name) + " already exists"}
@@ -210,7 +210,7 @@
 }
 
 // appendParse appends a Parse of the statement under this name.
-func appendParse(out []byte, name string, p *session.Prepared) []byte {
+func appendParse(out []byte, name string, p *session.PreparedStatement) []byte {
 	return appendMessage(out, clientParse, func(b []byte) []byte {
 		return append(appendCString(appendCString(b, name), p.Text), p.Params...)
 	})
@@ -221,7 +221,7 @@
 	for _, i := range injections {
 		switch {
 		case i.Parse == nil:
-			closed := session.Prepared{Key: i.Close}
+			closed := session.PreparedStatement{Key: i.Close}
 			out = appendMessage(out, clientClose, func(b []byte) []byte { return appendCString(append(b, targetStatement), closed.Name()) })
 		case i.Unnamed:
 			c.front.stats.StatementsReprepared++
@@ -237,7 +237,7 @@
 // checkSticky returns the error with which a query is rejected that would make the session sticky, or nil:
 // the pool allows no sticky sessions, or as many as it allows exist.
 func (c *sessionClient) checkSticky(q *session.Query) *session.ErrorReply {
-	if c.pipeline.StickyCause() != "" || c.pool.Mode == Session {
+	if c.pipeline.StickyCause() != "" || c.pool.Mode == SessionMode {
 		return nil
 	}
 	for i := range q.Statements {
--- a/internal/net/pg/session_front.go
+++ b/internal/net/pg/session_front.go
@@ -23,13 +23,13 @@
 	engine     *loop.Engine
 	dispatcher *dispatch.Dispatcher
 	clock      clock.Clock
-	names      Names
+	names      WireNames
 	limits     atomic.Pointer[SessionLimits]
 	eventLoop  atomic.Value // gnet.EventLoop; unset until the first client connects
 	// addresses holds a single map of host names to addresses. Whoever receives the map has exclusive access
 	// until it is sent back.
 	addresses         chan map[string]string
-	disabledGuarantee atomic.Value // string, set by Break
+	disabledGuarantee atomic.Value // string, set by DisableGuarantee
 
 	clients      clientRegistry
 	servers      serverRegistry
@@ -40,7 +40,7 @@
 	tenancy      tenantQueues
 	stats        SessionStats
 	draining     bool // clients are disconnected between transactions
-	terminating  bool // Cut has disconnected every client
+	terminating  bool // CloseClients has disconnected every client
 	clientLog    loop.ThrottledLog
 	hostLog      loop.ThrottledLog
 }
@@ -97,7 +97,7 @@
 }
 
 // NewSessionFront returns a front whose transactions are routed by dispatcher.
-func NewSessionFront(engine *loop.Engine, dispatcher *dispatch.Dispatcher, clk clock.Clock, names Names, limits SessionLimits) *SessionFront {
+func NewSessionFront(engine *loop.Engine, dispatcher *dispatch.Dispatcher, clk clock.Clock, names WireNames, limits SessionLimits) *SessionFront {
 	f := &SessionFront{
 		engine:     engine,
 		dispatcher: dispatcher,
@@ -110,7 +110,7 @@
 			stickyCounts: map[session.StickyCause]int{},
 		},
 		servers:      serverRegistry{hosts: map[string]*sessionHost{}},
-		catalogue:    session.NewCatalogue(limits.Bytes),
+		catalogue:    session.NewCatalogue(limits.MaxBytes),
 		parameters:   parameterRegistry{seed: maphash.MakeSeed()},
 		backpressure: backpressureState{paused: map[*loop.PausableConn]func() bool{}},
 	}
@@ -119,14 +119,14 @@
 	return f
 }
 
-// Break disables a guarantee: settings, statements, cancel or position. It lets a test show that the checker
+// DisableGuarantee disables a guarantee: settings, statements, cancel or position. It lets a test show that the checker
 // of the guarantee detects the violation.
-func (f *SessionFront) Break(guarantee string) { f.disabledGuarantee.Store(guarantee) }
+func (f *SessionFront) DisableGuarantee(guarantee string) { f.disabledGuarantee.Store(guarantee) }
 
 // SetLimits replaces the limits and pools from now on.
 func (f *SessionFront) SetLimits(limits SessionLimits) {
 	f.limits.Store(&limits)
-	f.onLoop(func() { f.catalogue.SetMaxBytes(limits.Bytes) })
+	f.onLoop(func() { f.catalogue.SetMaxBytes(limits.MaxBytes) })
 }
 
 // SetAddress sets the address of a host; "" removes it. Idle connections to the old address are closed.
@@ -200,9 +200,9 @@
 	c.routing.waiter.Owner = c
 	c.wire = loop.NewPausableConn(f.engine, g, c)
 	limits := f.limits.Load()
-	if len(f.clients.all) >= limits.Clients {
+	if len(f.clients.all) >= limits.MaxClients {
 		f.clientLog.Printf("sessions: %d client connections are open, rejecting one more", len(f.clients.all))
-		if len(f.clients.all) >= limits.Clients+limits.Clients/8+1 {
+		if len(f.clients.all) >= limits.MaxClients+limits.MaxClients/8+1 {
 			return nil, nil, gnet.Close
 		}
 		f.clients.all[c] = struct{}{}
@@ -237,8 +237,8 @@
 	})
 }
 
-// Cut disconnects every client with an error. Closing its server connection rolls back an open transaction.
-func (f *SessionFront) Cut() {
+// CloseClients disconnects every client with an error. Closing its server connection rolls back an open transaction.
+func (f *SessionFront) CloseClients() {
 	f.onLoop(func() {
 		f.terminating = true
 		for c := range f.clients.all {
@@ -292,7 +292,7 @@
 // rerouteWaiters routes all sessions again that wait for a connection of the pool.
 func (p *serverPool) rerouteWaiters() {
 	for w := p.queue.Next(0, nil); w != nil; w = p.queue.Next(0, nil) {
-		w.Owner.(*sessionClient).retryRouting(dispatch.NeverBegun(dispatch.NotSent))
+		w.Owner.(*sessionClient).retryRouting(dispatch.NotBegunOutcome(dispatch.NotSent))
 	}
 }
 
@@ -301,7 +301,7 @@
 // transaction runs; after the transaction the client still holds what it has not read, so the total needs a
 // bound of its own.
 func (f *SessionFront) boundUnsent(unsent int) {
-	for limit := f.limits.Load().Bytes; limit > 0 && unsent > limit; {
+	for limit := f.limits.Load().MaxBytes; limit > 0 && unsent > limit; {
 		var slowest *sessionClient
 		for c := range f.clients.all {
 			if slowest == nil || c.wire.UnsentBytes() > slowest.wire.UnsentBytes() {
@@ -318,9 +318,9 @@
 	}
 }
 
-// hash returns the hash of one reported parameter. The fingerprint of a set is the sum of its parameters'
+// hashParameter returns the hash of one reported parameter. The fingerprint of a set is the sum of its parameters'
 // hashes.
-func (f *SessionFront) hash(name, value string) uint64 {
+func (f *SessionFront) hashParameter(name, value string) uint64 {
 	var h maphash.Hash
 	h.SetSeed(f.parameters.seed)
 	h.WriteString(name)
--- a/internal/net/pg/session_limits.go
+++ b/internal/net/pg/session_limits.go
@@ -11,8 +11,8 @@
 
 // The modes. Statement mode is served by Front, on another listener.
 const (
-	Transaction Mode = "transaction"
-	Session     Mode = "session"
+	TransactionMode Mode = "transaction"
+	SessionMode     Mode = "session"
 )
 
 // PoolSettings are the configuration of the sessions of a database and user.
@@ -20,9 +20,9 @@
 	Name                    string // shown to operators
 	Database, User          string // "*": any
 	Mode                    Mode
-	Sizes                   session.Sizes // limits for each host
-	ReservedForSticky       int           // connections of Sizes.MaxConnections reserved for sticky and session-mode sessions
-	Defaults                session.Defaults
+	Sizes                   session.HostPoolLimits // limits for each host
+	ReservedForSticky       int                    // connections of Sizes.MaxConnections reserved for sticky and session-mode sessions
+	Defaults                session.RouteDefaults
 	WaitTimeoutMillis       float64 // longest wait of a session for a server connection
 	IdleInTransactionMillis float64 // longest idle time of a client in an open transaction; 0: no limit
 	ServerIdleMillis        float64 // longest idle time of a server connection; 0: no limit
@@ -35,12 +35,12 @@
 
 // SessionLimits are the limits of a session front, with its pools and users.
 type SessionLimits struct {
-	Clients int // client connections
-	Servers int // server connections that are open or being opened, to all hosts together
+	MaxClients           int // client connections
+	MaxServerConnections int // server connections that are open or being opened, to all hosts together
 	// Bytes bounds the bytes from clients that wait here, the bytes unsent to clients, and the prepared
 	// statements, each of the three separately.
-	Bytes                 int
-	Message               int // bytes of one message from a client
+	MaxBytes              int
+	MaxMessageBytes       int // bytes of one message from a client
 	MaxPausedTransactions int // transactions that may wait for paused databases, of all databases together
 	RetryAfterMillis      float64
 	ConnectTimeout        time.Duration
--- a/internal/net/pg/session_link.go
+++ b/internal/net/pg/session_link.go
@@ -15,7 +15,7 @@
 func (c *sessionClient) attach(s *serverConn) {
 	if c.routing.call != nil && !c.routing.call.Revalidate() {
 		s.returnToPool()
-		c.retryRouting(dispatch.NeverBegun(dispatch.NotSent))
+		c.retryRouting(dispatch.NotBegunOutcome(dispatch.NotSent))
 		return
 	}
 	if c.routing.call != nil && !c.isAssignmentCurrent() {
@@ -25,7 +25,7 @@
 	}
 	c.server, s.session = s, c
 	s.requestSent, s.report.position, s.report.role = false, 0, ""
-	c.routing.misplaced = false
+	c.routing.misdirected = false
 	c.pipeline.Link(s.prepared, c.routing.readOnly)
 	if c.front.disabledGuarantee.Load() == "statements" {
 		c.pipeline.AssumePrepared()
@@ -37,7 +37,7 @@
 		return
 	}
 	c.completeLink(s)
-	if !c.input.handling {
+	if !c.input.routingPending {
 		c.resume()
 	}
 }
@@ -92,7 +92,7 @@
 	if c.routing.call != nil && !s.requestSent && !c.routing.call.Revalidate() { // nothing from the client was sent
 		c.unlinkServer(s)
 		s.returnToPool()
-		c.retryRouting(dispatch.NeverBegun(dispatch.NotSent))
+		c.retryRouting(dispatch.NotBegunOutcome(dispatch.NotSent))
 		return nil
 	}
 	if c.routing.call != nil && !s.requestSent && !c.isAssignmentCurrent() {
@@ -103,7 +103,7 @@
 	}
 	c.routing.cancelRequested = false
 	if c.routing.call != nil && !s.requestSent {
-		c.routing.call.Written(c.front.clock.Now())
+		c.routing.call.RecordWrite(c.front.clock.Now())
 	}
 	c.completeLink(s)
 	c.resume()
@@ -136,7 +136,7 @@
 	if call := c.routing.call; call != nil {
 		c.routing.call = nil
 		code := dispatch.OK
-		if c.routing.misplaced {
+		if c.routing.misdirected {
 			code = dispatch.Misdirected
 		}
 		call.Finish(s.outcome(code))
@@ -162,7 +162,7 @@
 	f := c.front
 	if c.pipeline.StateUnknown() { // the settings on the connection are not known
 		c.unlinkServer(s)
-		c.pipeline.Lost()
+		c.pipeline.DiscardUncommitted()
 		s.retired = true
 		s.wire.Close()
 		c.phase = phaseUnlinked
@@ -188,7 +188,7 @@
 		c.abandonDrainingHost(s)
 		c.resume()
 		return
-	case isSticky, c.pool.Mode == Session && isListed && !c.routing.misplaced && !isMoved:
+	case isSticky, c.pool.Mode == SessionMode && isListed && !c.routing.misdirected && !isMoved:
 		if c.input.blocked || c.wire.BufferedBytes() > 0 {
 			c.resume()
 		}
@@ -215,7 +215,7 @@
 	if cause := c.pipeline.StickyCause(); cause != "" {
 		c.recovery.pendingError = &session.ErrorReply{SQLState: sqlStateConnectionFailure, Text: "the db host drains; the session's " + string(cause) + " is lost with its connection"}
 		c.unlinkServer(s)
-		c.pipeline.Lose(false)
+		c.pipeline.HandleConnectionLoss(false)
 		s.retired = true
 	} else {
 		c.unlinkServer(s)
@@ -265,9 +265,9 @@
 		c.retention.stickyCause = cause
 		c.front.clients.stickyCounts[cause]++
 	}
-	if (cause != "" || c.pool.Mode == Session) && !c.retention.counted {
+	if (cause != "" || c.pool.Mode == SessionMode) && !c.retention.counted {
 		c.retention.counted = true
-		s.pool.retained++
+		s.pool.stickyConns++
 	}
 }
 
@@ -275,7 +275,7 @@
 func (c *sessionClient) uncountRetained(s *serverConn) {
 	if c.retention.counted {
 		c.retention.counted = false
-		s.pool.retained--
+		s.pool.stickyConns--
 	}
 	if c.retention.stickyCause != "" {
 		c.front.clients.stickyCounts[c.retention.stickyCause]--
--- a/internal/net/pg/session_lost_block.go
+++ b/internal/net/pg/session_lost_block.go
@@ -76,7 +76,7 @@
 	if !ok {
 		return messageMalformed
 	}
-	query := session.Scan(text)
+	query := session.ParseQuery(text)
 	if len(query.Statements) == 0 {
 		c.writeClient(appendReadyForQuery(appendEmpty(nil, serverEmptyQuery), c.pipeline.Status()))
 		return messageAnswered
@@ -95,7 +95,7 @@
 // parseInLostBlock prepares a statement that a failed block may run. It returns false if the block may not
 // run the statement, or if there is no memory for it.
 func (c *sessionClient) parseInLostBlock(name, text string, types []byte) bool {
-	query := session.Scan(text)
+	query := session.ParseQuery(text)
 	if !c.pipeline.BlockLost() || !query.EndsBlock() && len(query.Statements) > 0 {
 		return false
 	}
@@ -111,7 +111,7 @@
 
 // mayRunInLostBlock reports whether a failed block may run a prepared statement: one that ends the block or
 // is empty.
-func (c *sessionClient) mayRunInLostBlock(prepared *session.Prepared) bool {
+func (c *sessionClient) mayRunInLostBlock(prepared *session.PreparedStatement) bool {
 	return c.pipeline.BlockLost() && (prepared.Query.EndsBlock() || len(prepared.Query.Statements) == 0)
 }
 
@@ -125,7 +125,7 @@
 // findForLostBlock returns a prepared statement that a failed block may run, or nil. With nil, isAnswered
 // says that the client was told that there is no such statement; otherwise the error of the block remains to
 // be sent.
-func (c *sessionClient) findForLostBlock(name string) (prepared *session.Prepared, isAnswered bool) {
+func (c *sessionClient) findForLostBlock(name string) (prepared *session.PreparedStatement, isAnswered bool) {
 	prepared = c.pipeline.Find(name)
 	if prepared == nil {
 		c.rejectMissingStatement(name)
--- a/internal/net/pg/session_messages.go
+++ b/internal/net/pg/session_messages.go
@@ -56,7 +56,7 @@
 	}
 	// RESET gave the connection the values of its own startup. The session's are restored before anything
 	// else runs.
-	if c.pipeline.NeedsRestore() && kind != clientSync && kind != clientFlush && c.pipeline.Expected() == 0 && !c.pipeline.CopyIn() {
+	if c.pipeline.NeedsRestore() && kind != clientSync && kind != clientFlush && c.pipeline.ExpectedReplies() == 0 && !c.pipeline.CopyIn() {
 		if out = c.writeServer(out); c.server != nil { // otherwise the write failed, and the loss was already handled
 			c.restoreSettings(c.server)
 		}
@@ -114,9 +114,9 @@
 	if query == nil {
 		return result
 	}
-	c.input.handling = true
+	c.input.routingPending = true
 	c.routeTransaction(query, kind)
-	c.input.handling = false
+	c.input.routingPending = false
 	switch {
 	case c.server != nil && c.phase == phaseLinked:
 		return messageLinked
@@ -136,7 +136,7 @@
 		if !ok || len(rest) > 0 {
 			return nil, messageMalformed
 		}
-		*query = session.Scan(text)
+		*query = session.ParseQuery(text)
 		if c.answerLocally(query) {
 			return nil, messageAnswered
 		}
@@ -145,7 +145,7 @@
 		if !ok {
 			return nil, messageMalformed
 		}
-		*query = session.Scan(text)
+		*query = session.ParseQuery(text)
 	case clientBind:
 		_, name, _, ok := cutTwoStrings(body)
 		if !ok {
@@ -177,7 +177,7 @@
 
 // statementNamed returns the statement that a Describe names, or nil if it names a portal or an unknown
 // statement.
-func (c *sessionClient) statementNamed(body []byte) *session.Prepared {
+func (c *sessionClient) statementNamed(body []byte) *session.PreparedStatement {
 	name, _, ok := cutString(body[1:])
 	if !ok || body[0] != targetStatement {
 		return nil
--- a/internal/net/pg/session_recovery.go
+++ b/internal/net/pg/session_recovery.go
@@ -13,7 +13,7 @@
 	c.server = nil
 	c.uncountRetained(s)
 	if c.phase == phaseRejectedByHost { // nothing of the transaction ran
-		c.pipeline.Lose(false)
+		c.pipeline.HandleConnectionLoss(false)
 		c.replayElsewhere(nil)
 		return
 	}
@@ -28,7 +28,7 @@
 		return
 	}
 	c.routing.cancelRequested = false
-	loss := c.pipeline.Lose(s.requestSent)
+	loss := c.pipeline.HandleConnectionLoss(s.requestSent)
 	if call := c.routing.call; call != nil {
 		c.routing.call = nil
 		call.Finish(dispatch.Outcome{Code: dispatch.ConnectionLost})
@@ -46,12 +46,12 @@
 // rerouteRestoring routes a transaction again whose connection was lost while the session's settings were
 // being restored.
 func (c *sessionClient) rerouteRestoring() {
-	c.pipeline.Lose(false)
+	c.pipeline.HandleConnectionLoss(false)
 	if c.applyCancel() {
 		c.resume()
 		return
 	}
-	c.routing.call.Report(dispatch.NeverBegun(dispatch.NotSent))
+	c.routing.call.Report(dispatch.NotBegunOutcome(dispatch.NotSent))
 	c.phase = phaseRouting
 	c.pickHost()
 	if c.phase == phaseUnlinked || c.phase == phaseLinked {
@@ -80,8 +80,8 @@
 func (c *sessionClient) reportLoss(loss *session.Loss, sticky session.StickyCause) {
 	var out []byte
 	switch {
-	case loss.Cycles > 0:
-		for range loss.Cycles {
+	case loss.PendingReadyForQuery > 0:
+		for range loss.PendingReadyForQuery {
 			out = appendError(out, severityError, loss.SQLState, loss.Text, "")
 			out = appendReadyForQuery(out, c.pipeline.Status())
 		}
--- a/internal/net/pg/session_replay.go
+++ b/internal/net/pg/session_replay.go
@@ -32,7 +32,7 @@
 	default:
 		isRecordable = false
 	}
-	if !isRecordable || c.record.statements > 1 || len(c.record.messages)+len(message) > maxBufferedMessageBytes || f.tenancy.recordedBytes+len(message) > f.limits.Load().Bytes/4 {
+	if !isRecordable || c.record.statements > 1 || len(c.record.messages)+len(message) > maxBufferedMessageBytes || f.tenancy.recordedBytes+len(message) > f.limits.Load().MaxBytes/4 {
 		c.discardRecorded()
 		return
 	}
--- a/internal/net/pg/session_routing.go
+++ b/internal/net/pg/session_routing.go
@@ -31,9 +31,9 @@
 // consumeRejected removes the rejected message from the client's input and ends it.
 func (c *sessionClient) consumeRejected() {
 	b := c.peekInput()
-	_, _, rest, ok, err := nextMessage(b, c.front.limits.Load().Message)
+	_, _, rest, ok, err := nextMessage(b, c.front.limits.Load().MaxMessageBytes)
 	if ok && err == nil && c.input.pendingKind != 0 {
-		if !c.input.handling {
+		if !c.input.routingPending {
 			c.discardInput(len(b) - len(rest))
 		}
 		c.finishRejected(c.input.pendingKind)
@@ -133,13 +133,13 @@
 	case dispatch.Fail:
 		c.failRouting("no host answered in time")
 		return
-	case dispatch.ClientGone:
+	case dispatch.ClientDisconnected:
 		c.rejectRouting("no host answered in time", f.limits.Load().RetryAfterMillis)
 		return
 	}
 	address := f.address(decision.Host)
 	if address == "" {
-		c.routing.call.Report(dispatch.NeverBegun(dispatch.NoConnection))
+		c.routing.call.Report(dispatch.NotBegunOutcome(dispatch.NoConnection))
 		c.pickHost()
 		return
 	}
@@ -153,7 +153,7 @@
 		}
 	}
 	if !p.queue.Add(&c.routing.waiter, c.pool.Sizes.MaxWaiting) {
-		c.routing.call.Finish(dispatch.NeverBegun(dispatch.Rejected))
+		c.routing.call.Finish(dispatch.NotBegunOutcome(dispatch.Rejected))
 		c.rejectRouting("all server connections are in use, and as many sessions wait as may", f.limits.Load().RetryAfterMillis)
 		return
 	}
@@ -190,7 +190,7 @@
 	}
 	call := c.routing.call
 	c.routing.call = nil
-	call.Finish(dispatch.NeverBegun(dispatch.NotSent))
+	call.Finish(dispatch.NotBegunOutcome(dispatch.NotSent))
 	c.rejectRouting("no server connection was free in time", c.front.limits.Load().RetryAfterMillis)
 	c.resume()
 }
@@ -204,7 +204,7 @@
 	c.phase = phaseRouting
 	c.routing.call.Report(o)
 	c.pickHost()
-	if !c.input.handling && (c.phase == phaseLinked || c.phase == phaseUnlinked) {
+	if !c.input.routingPending && (c.phase == phaseLinked || c.phase == phaseUnlinked) {
 		c.resume()
 	}
 }
--- a/internal/net/pg/tenants.go
+++ b/internal/net/pg/tenants.go
@@ -146,10 +146,10 @@
 	f.scheduleExpiry()
 }
 
-// queueBounds returns the limits on the transactions that may be queued for a pool.
-func (f *SessionFront) queueBounds(p *PoolSettings) session.TenantQueueLimits {
+// queueLimits returns the limits on the transactions that may be queued for a pool.
+func (f *SessionFront) queueLimits(p *PoolSettings) session.TenantQueueLimits {
 	l := f.limits.Load()
-	return session.TenantQueueLimits{PerTenant: p.MaxPausedTransactions, Total: l.MaxPausedTransactions, BytesPerTenant: l.Bytes / 4, TotalBytes: l.Bytes / 2, MaxPauseMillis: p.MaxPauseMillis}
+	return session.TenantQueueLimits{PerTenant: p.MaxPausedTransactions, Total: l.MaxPausedTransactions, BytesPerTenant: l.MaxBytes / 4, TotalBytes: l.MaxBytes / 2, MaxPauseMillis: p.MaxPauseMillis}
 }
 
 // isAssignmentCurrent reports whether the assignment by which the transaction was routed is still in force.
@@ -203,7 +203,7 @@
 		c.tenancy.entry.Deadline = now + c.pool.WaitTimeoutMillis
 	}
 	c.tenancy.entry.Bytes, c.tenancy.entry.MaxInFlight = c.waitingBytes(), c.pool.Sizes.MaxConnections
-	queued, err := f.tenancy.tenants.Admit(now, c.tenancy.tenant, f.tenancy.assignments.Assignment(c.identity.database, now), &c.tenancy.entry, f.queueBounds(c.pool))
+	queued, err := f.tenancy.tenants.Admit(now, c.tenancy.tenant, f.tenancy.assignments.Assignment(c.identity.database, now), &c.tenancy.entry, f.queueLimits(c.pool))
 	switch {
 	case queued:
 		c.input.pendingKind, c.phase = kind, phaseTenantPaused
@@ -259,7 +259,7 @@
 		now := f.clock.Now()
 		assignment := f.tenancy.assignments.Assignment(c.identity.database, now)
 		c.tenancy.entry.Bytes, c.tenancy.entry.MaxInFlight = c.waitingBytes(), c.pool.Sizes.MaxConnections
-		queued, rejection := f.tenancy.tenants.Admit(now, c.tenancy.tenant, assignment, &c.tenancy.entry, f.queueBounds(c.pool))
+		queued, rejection := f.tenancy.tenants.Admit(now, c.tenancy.tenant, assignment, &c.tenancy.entry, f.queueLimits(c.pool))
 		if queued {
 			c.phase = phaseTenantPaused
 			f.scheduleExpiry()
@@ -297,10 +297,10 @@
 	c.routing.waiter.Dequeue()
 	call := c.routing.call
 	c.routing.call = nil
-	call.Finish(dispatch.NeverBegun(dispatch.NotSent))
+	call.Finish(dispatch.NotBegunOutcome(dispatch.NotSent))
 	c.phase = phaseRouting
 	c.routeByAssignment()
-	if !c.input.handling && (c.phase == phaseLinked || c.phase == phaseUnlinked) {
+	if !c.input.routingPending && (c.phase == phaseLinked || c.phase == phaseUnlinked) {
 		c.resume()
 	}
 }
--- a/internal/net/pg/unsent_test.go
+++ b/internal/net/pg/unsent_test.go
@@ -29,7 +29,7 @@
 
 func (s *slowReader) serve(c net.Conn, b *pgproto3.Backend) {
 	defer close(s.ended)
-	welcome(b)
+	completeHandshake(b)
 	<-s.read
 	header := make([]byte, 5)
 	n, err := io.ReadFull(c, header)
@@ -66,12 +66,12 @@
 			s := &slowReader{read: make(chan struct{}), ended: make(chan struct{})}
 			r := start(t, s.serve)
 			r.SetLimits(PoolLimits{Connections: 4, ConnectTimeout: 20 * time.Second, IdleTimeout: 15 * time.Second})
-			r.listenLate()
-			c := r.acquired(t)
+			r.recordLateAnswers()
+			c := r.mustAcquire(t)
 			host := <-r.conns
 			_ = host.(*net.TCPConn).SetReadBuffer(16 << 10)
 			require.NoError(t, c.gnetConn.SetWriteBuffer(test.writeBuffer))
-			statement, err := sqlcomment.Parse(plain + " -- " + strings.Repeat("x", size))
+			statement, err := sqlcomment.Parse(plainQuery + " -- " + strings.Repeat("x", size))
 			require.NoError(t, err)
 			ctx, giveUp := context.WithCancel(context.Background())
 			defer giveUp()
@@ -110,7 +110,7 @@
 			if test.code != dispatch.Cancelled {
 				require.Equal(t, test.code, (<-replies).Code, "the last byte was never written: it did not run")
 			}
-			r.stop(t, l)() // the function that ends the attempt was queued before this one
+			r.blockLoop(t, l)() // the function that ends the attempt was queued before this one
 			if left == 0 {
 				close(s.read)
 			}
@@ -130,10 +130,10 @@
 	s := &slowReader{read: make(chan struct{}), ended: make(chan struct{})}
 	r := start(t, s.serve)
 	r.SetLimits(PoolLimits{Connections: 4, ConnectTimeout: 20 * time.Second, IdleTimeout: 15 * time.Second})
-	c := r.acquired(t)
+	c := r.mustAcquire(t)
 	_ = (<-r.conns).(*net.TCPConn).SetReadBuffer(16 << 10)
 	require.NoError(t, c.gnetConn.SetWriteBuffer(16<<10))
-	statement, err := sqlcomment.Parse(plain + " -- " + strings.Repeat("x", 150<<10))
+	statement, err := sqlcomment.Parse(plainQuery + " -- " + strings.Repeat("x", 150<<10))
 	require.NoError(t, err)
 	begun := time.Now()
 	reply := c.Exchange(context.Background(), &statement, open)
--- a/internal/session/parse_set.go
+++ b/internal/session/parse_set.go
@@ -84,7 +84,7 @@
 		separator = " "
 	}
 	nameText, valueText := text[tokens[nameIndex].from:tokens[next-1].to], text[tokens[valueIndex].from:tokens[len(tokens)-1].to]
-	return Statement{Kind: Set, Name: name, Render: "SET " + nameText + separator + valueText}
+	return Statement{Kind: Set, Name: name, Rendering: "SET " + nameText + separator + valueText}
 }
 
 // hasSpecialSyntax reports whether a setting that begins with this keyword may be set without TO or an equals
@@ -110,9 +110,9 @@
 	if len(tokens) == 7 && tokens[5].folded == "read" {
 		switch tokens[6].folded {
 		case "only":
-			return Statement{Kind: Set, Name: "default_transaction_read_only", Render: "SET default_transaction_read_only TO on"}
+			return Statement{Kind: Set, Name: "default_transaction_read_only", Rendering: "SET default_transaction_read_only TO on"}
 		case "write":
-			return Statement{Kind: Set, Name: "default_transaction_read_only", Render: "SET default_transaction_read_only TO off"}
+			return Statement{Kind: Set, Name: "default_transaction_read_only", Rendering: "SET default_transaction_read_only TO off"}
 		}
 	}
 	return Statement{Kind: MakesSticky, Cause: CauseUnreadable}
--- a/internal/session/pipeline.go
+++ b/internal/session/pipeline.go
@@ -28,7 +28,7 @@
 	changesNames bool
 	// prepared is, for Parse, the statement being prepared; for Bind, Describe and Execute, the statement
 	// used.
-	prepared   *Prepared
+	prepared   *PreparedStatement
 	statements []Statement
 	// nextStatement is the index in statements of the first one that has not completed.
 	nextStatement int
@@ -56,7 +56,7 @@
 	// Close is the statement to close on the server; it is used if Parse is nil.
 	Close Key
 	// Parse is the statement to prepare.
-	Parse *Prepared
+	Parse *PreparedStatement
 	// Unnamed is set if Parse prepares the unnamed statement.
 	Unnamed bool
 }
@@ -83,9 +83,9 @@
 	// Unexpected is set if the message answers no outstanding request: the pipeline and the server are out of
 	// sync.
 	Unexpected bool
-	// Injected is set when the answer to the pooler's settings query is complete. Failed is set for an error in
-	// that answer, and again with Injected.
-	Injected, Failed bool
+	// SettingsApplied is set when the answer to the pooler's settings query is complete. Failed is set for an error in
+	// that answer, and again with SettingsApplied.
+	SettingsApplied, Failed bool
 	// Replacement is the error that replaces the server's ErrorResponse; nil: the message is passed on.
 	Replacement *ErrorReply
 }
@@ -94,7 +94,7 @@
 // messages are sent to the server, under which statement names, and which of the server's answers are passed
 // on to the client.
 type Pipeline struct {
-	Tracker
+	SettingsTracker
 	StatementNames
 
 	// server is what is prepared on the linked server connection; nil: the session is not linked.
@@ -103,7 +103,7 @@
 	expected []expectedReply
 	head     int
 	// portals maps each portal to the statement that is bound to it.
-	portals map[string]*Prepared
+	portals map[string]*PreparedStatement
 	// skipping is set after an error in a pipeline: what the client sends up to Sync is not run.
 	skipping bool
 	// copyIn is set while the server waits for the client's COPY data.
@@ -130,7 +130,7 @@
 
 // NewPipeline returns the pipeline of a session that connected with the settings startup.
 func NewPipeline(startup *Settings, c *Catalogue) *Pipeline {
-	return &Pipeline{Tracker: NewTracker(startup), StatementNames: NewStatementNames(c), status: 'I'}
+	return &Pipeline{SettingsTracker: NewSettingsTracker(startup), StatementNames: NewStatementNames(c), status: 'I'}
 }
 
 // Link records that the session now has a server connection, on which s is prepared. readOnly is whether its
@@ -180,8 +180,8 @@
 	p.Restored()
 }
 
-// Expected returns the number of outstanding replies.
-func (p *Pipeline) Expected() int { return len(p.expected) - p.head }
+// ExpectedReplies returns the number of outstanding replies.
+func (p *Pipeline) ExpectedReplies() int { return len(p.expected) - p.head }
 
 // CopyIn reports whether the server waits for the client's COPY data.
 func (p *Pipeline) CopyIn() bool { return p.copyIn }
--- a/internal/session/pipeline_client.go
+++ b/internal/session/pipeline_client.go
@@ -2,7 +2,7 @@
 
 // Parse handles a Parse message. The caller has acquired the statement from the catalogue; Parse takes over
 // that reference.
-func (p *Pipeline) Parse(name string, prepared *Prepared) (out ClientAction) {
+func (p *Pipeline) Parse(name string, prepared *PreparedStatement) (out ClientAction) {
 	if p.skipping {
 		p.catalogue.Release(prepared)
 		return ClientAction{Drop: true}
@@ -42,7 +42,7 @@
 
 // ensurePrepared makes sure that a statement is prepared on the server under the name by which the message
 // uses it.
-func (p *Pipeline) ensurePrepared(name string, prepared *Prepared, out *ClientAction) {
+func (p *Pipeline) ensurePrepared(name string, prepared *PreparedStatement, out *ClientAction) {
 	if name == "" {
 		if !p.server.HasUnnamed || p.server.Unnamed != prepared.Key {
 			p.server.Unnamed, p.server.HasUnnamed = prepared.Key, true
@@ -67,7 +67,7 @@
 	if prepared != nil {
 		p.ensurePrepared(name, prepared, &out)
 		if p.portals == nil {
-			p.portals = map[string]*Prepared{}
+			p.portals = map[string]*PreparedStatement{}
 		}
 		p.portals[portal] = prepared
 	}
@@ -181,8 +181,8 @@
 	return false
 }
 
-// Function handles a FunctionCall.
-func (p *Pipeline) Function() ClientAction {
+// FunctionCall handles a FunctionCall.
+func (p *Pipeline) FunctionCall() ClientAction {
 	if p.skipping {
 		return ClientAction{Drop: true}
 	}
--- a/internal/session/pipeline_loss.go
+++ b/internal/session/pipeline_loss.go
@@ -6,8 +6,8 @@
 	SQLState string
 	// Text is the message of that error.
 	Text string
-	// Cycles is the number of ReadyForQuery messages that the client waits for; each follows an error.
-	Cycles int
+	// PendingReadyForQuery is the number of ReadyForQuery messages that the client waits for; each follows an error.
+	PendingReadyForQuery int
 	// Silent is set if no request was in progress and no block was open, so that the client need not be told.
 	Silent bool
 }
@@ -19,10 +19,10 @@
 	SQLStateInFailedBlock = "25P02"
 )
 
-// Lose handles the loss of the server connection. Work that was not committed is rolled back; if a commit was
+// HandleConnectionLoss handles the loss of the server connection. Work that was not committed is rolled back; if a commit was
 // in progress, its outcome is unknown. sent is whether any of the unanswered requests was written to the
 // connection.
-func (p *Pipeline) Lose(sent bool) Loss {
+func (p *Pipeline) HandleConnectionLoss(sent bool) Loss {
 	inDoubt, inBlock := p.mayHaveCommitted()
 	loss := Loss{
 		SQLState: SQLStateSafeToRetry,
@@ -33,14 +33,14 @@
 		loss.Text = "the connection to the db host was lost while a commit was under way; it may have been committed"
 	}
 	var open bool
-	loss.Cycles, open = p.expectedCycles()
-	loss.Silent = loss.Cycles == 0 && !open && !inBlock && !p.skipping
+	loss.PendingReadyForQuery, open = p.expectedCycles()
+	loss.Silent = loss.PendingReadyForQuery == 0 && !open && !inBlock && !p.skipping
 	p.DiscardLast(len(p.requested))
 	p.inImplicitTransaction, p.commitSeen, p.wrote = false, false, false
 	p.expected, p.head, p.portals, p.server = nil, 0, nil, nil
 	p.copyIn, p.staleStatements, p.stickyCause = false, nil, ""
 	p.skipping = open || p.skipping
-	p.Lost()
+	p.DiscardUncommitted()
 	if p.status = 'I'; inBlock {
 		p.status, p.blockLost = 'E', true
 	}
--- a/internal/session/pipeline_server.go
+++ b/internal/session/pipeline_server.go
@@ -179,7 +179,7 @@
 		failed := p.failed
 		p.failed = false
 		p.pop()
-		return ServerAction{Drop: true, Injected: true, Failed: failed}
+		return ServerAction{Drop: true, SettingsApplied: true, Failed: failed}
 	case replySync:
 		if e.hidden {
 			p.pop()
--- a/internal/session/queue.go
+++ b/internal/session/queue.go
@@ -2,8 +2,8 @@
 
 import "container/list"
 
-// Sizes limits the connections and waiting sessions for one host, database and user.
-type Sizes struct {
+// HostPoolLimits limits the connections and waiting sessions for one host, database and user.
+type HostPoolLimits struct {
 	// MaxConnections is the maximum number of server connections.
 	MaxConnections int
 	// MaxWaiting is the maximum number of sessions that wait for a server connection.
--- a/internal/session/retryable.go
+++ b/internal/session/retryable.go
@@ -9,7 +9,7 @@
 	if !ok || len(tokens) == 0 || tokens[0].literal {
 		return false
 	}
-	if more && len(Scan(text[s.position:]).Statements) > 0 {
+	if more && len(ParseQuery(text[s.position:]).Statements) > 0 {
 		return false
 	}
 	switch tokens[0].folded {
--- a/internal/session/route.go
+++ b/internal/session/route.go
@@ -22,8 +22,8 @@
 	ReadOnly bool
 }
 
-// Defaults are the operator's routing settings for transactions whose comment does not specify them.
-type Defaults struct {
+// RouteDefaults are the operator's routing settings for transactions whose comment does not specify them.
+type RouteDefaults struct {
 	// ReadOnly is the class of read-only transactions.
 	ReadOnly string
 	// ReadWrite is the class of all other transactions.
@@ -36,7 +36,7 @@
 // Route determines the route of a transaction from the query's comment and, for what the comment does not
 // specify, from the defaults. defaultReadOnly is whether the session has default_transaction_read_only on. An
 // invalid value in the comment is a *CommentError; it is not replaced by a default.
-func (d *Defaults) Route(q *Query, defaultReadOnly bool) (r Route, err error) {
+func (d *RouteDefaults) Route(q *Query, defaultReadOnly bool) (r Route, err error) {
 	r.Group = d.Group
 	r.ReadOnly = d.isReadOnly(q, defaultReadOnly)
 	if r.Class = d.ReadWrite; r.ReadOnly {
@@ -87,7 +87,7 @@
 	return x, nil
 }
 
-func (d *Defaults) isReadOnly(q *Query, defaultReadOnly bool) bool {
+func (d *RouteDefaults) isReadOnly(q *Query, defaultReadOnly bool) bool {
 	if len(q.Statements) == 0 {
 		return defaultReadOnly
 	}
--- a/internal/session/scan_test.go
+++ b/internal/session/scan_test.go
@@ -24,21 +24,21 @@
 		`ROLLBACK WORK TO SAVEPOINT "S1"`: {{Kind: RollbackTo, Name: "S1"}},
 		"rollback to savepoint":           {{Kind: RollbackTo, Name: "savepoint"}},
 		"RELEASE a":                       {{Kind: Release, Name: "a"}},
-		"SET search_path = a, \"B c\"":    {{Kind: Set, Name: "search_path", Render: "SET search_path TO a, \"B c\""}},
-		"SET SESSION Work_Mem TO '4MB'":   {{Kind: Set, Name: "work_mem", Render: "SET Work_Mem TO '4MB'"}},
-		"SET app.user = 'o''b\\'":         {{Kind: Set, Name: "app.user", Render: "SET app.user TO 'o''b\\'"}},
-		"SET x TO E'a\\'b\nc;'":           {{Kind: Set, Name: "x", Render: "SET x TO E'a\\'b\nc;'"}},
+		"SET search_path = a, \"B c\"":    {{Kind: Set, Name: "search_path", Rendering: "SET search_path TO a, \"B c\""}},
+		"SET SESSION Work_Mem TO '4MB'":   {{Kind: Set, Name: "work_mem", Rendering: "SET Work_Mem TO '4MB'"}},
+		"SET app.user = 'o''b\\'":         {{Kind: Set, Name: "app.user", Rendering: "SET app.user TO 'o''b\\'"}},
+		"SET x TO E'a\\'b\nc;'":           {{Kind: Set, Name: "x", Rendering: "SET x TO E'a\\'b\nc;'"}},
 		"SET LOCAL x = 1":                 {{Kind: SetLocal, Name: "x"}},
 		"SET x TO DEFAULT":                {{Kind: Reset, Name: "x"}},
 		"SET x FROM CURRENT":              {{Kind: MakesSticky, Cause: CauseUnreadable}},
-		"SET TIME ZONE 'Asia/Muscat'":     {{Kind: Set, Name: "timezone", Render: "SET TIME ZONE 'Asia/Muscat'"}},
+		"SET TIME ZONE 'Asia/Muscat'":     {{Kind: Set, Name: "timezone", Rendering: "SET TIME ZONE 'Asia/Muscat'"}},
 		"SET TIME ZONE LOCAL":             {{Kind: Reset, Name: "timezone"}},
-		"SET NAMES 'utf8'":                {{Kind: Set, Name: "client_encoding", Render: "SET NAMES 'utf8'"}},
+		"SET NAMES 'utf8'":                {{Kind: Set, Name: "client_encoding", Rendering: "SET NAMES 'utf8'"}},
 		"SET ROLE none":                   {{Kind: Reset, Name: "role"}},
-		"SET ROLE editor":                 {{Kind: Set, Name: "role", Render: "SET ROLE editor"}},
-		"SET SESSION AUTHORIZATION bob":   {{Kind: Set, Name: "session_authorization", Render: "SET SESSION AUTHORIZATION bob"}},
+		"SET ROLE editor":                 {{Kind: Set, Name: "role", Rendering: "SET ROLE editor"}},
+		"SET SESSION AUTHORIZATION bob":   {{Kind: Set, Name: "session_authorization", Rendering: "SET SESSION AUTHORIZATION bob"}},
 		"SET TRANSACTION READ ONLY":       {{Kind: SetLocal}},
-		"SET SESSION CHARACTERISTICS AS TRANSACTION READ ONLY": {{Kind: Set, Name: "default_transaction_read_only", Render: "SET default_transaction_read_only TO on"}},
+		"SET SESSION CHARACTERISTICS AS TRANSACTION READ ONLY": {{Kind: Set, Name: "default_transaction_read_only", Rendering: "SET default_transaction_read_only TO on"}},
 		"RESET ALL":                               {{Kind: ResetAll}},
 		"RESET TIME ZONE":                         {{Kind: Reset, Name: "timezone"}},
 		"DISCARD ALL":                             {{Kind: DiscardAll}},
@@ -63,16 +63,16 @@
 		"SELECT 'open":                            {{Kind: MakesSticky, Cause: CauseUnreadable}},
 		"SELECT 1 /* open":                        {{Kind: MakesSticky, Cause: CauseUnreadable}},
 		"SAVEPOINT":                               {{Kind: MakesSticky, Cause: CauseUnreadable}},
-		"BEGIN; SET été TO 'ü'; COMMIT":           {{Kind: Begin}, {Kind: Set, Name: "été", Render: "SET été TO 'ü'"}, {Kind: Commit}},
+		"BEGIN; SET été TO 'ü'; COMMIT":           {{Kind: Begin}, {Kind: Set, Name: "été", Rendering: "SET été TO 'ü'"}, {Kind: Commit}},
 	} {
-		got := Scan(text).Statements
+		got := ParseQuery(text).Statements
 		for i := range got {
 			got[i].from, got[i].to = 0, 0
 		}
 		require.Equal(t, want, got, "%s", text)
 	}
-	require.Equal(t, " c=browse,d=5 ", Scan("  /* c=browse,d=5 */ SELECT 1").Comment)
-	require.Len(t, Scan("SELECT "+strings.Repeat("1,", 100000)+"1; BEGIN").Statements, 2)
+	require.Equal(t, " c=browse,d=5 ", ParseQuery("  /* c=browse,d=5 */ SELECT 1").Comment)
+	require.Len(t, ParseQuery("SELECT "+strings.Repeat("1,", 100000)+"1; BEGIN").Statements, 2)
 }
 
 func FuzzScan(f *testing.F) {
@@ -80,23 +80,23 @@
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		for _, s := range Scan(text).Statements {
+		for _, s := range ParseQuery(text).Statements {
 			// The text that sets a value on another connection must be a single statement with the same
 			// effect.
 			if s.Kind == Set {
-				again := Scan(s.Render).Statements
-				require.Len(t, again, 1, "%q", s.Render)
-				require.Equal(t, s.Name, again[0].Name, "%q", s.Render)
-				require.Equal(t, Set, again[0].Kind, "%q", s.Render)
+				again := ParseQuery(s.Rendering).Statements
+				require.Len(t, again, 1, "%q", s.Rendering)
+				require.Equal(t, s.Name, again[0].Name, "%q", s.Rendering)
+				require.Equal(t, Set, again[0].Kind, "%q", s.Rendering)
 			}
 		}
 	})
 }
 
 func TestRoute(t *testing.T) {
-	d := Defaults{ReadOnly: "browse", ReadWrite: "donate"}
+	d := RouteDefaults{ReadOnly: "browse", ReadWrite: "donate"}
 	route := func(text string, defaultReadOnly bool) Route {
-		q := Scan(text)
+		q := ParseQuery(text)
 		r, err := d.Route(&q, defaultReadOnly)
 		require.NoError(t, err)
 		return r
@@ -112,7 +112,7 @@
 	require.Equal(t, Route{Class: "report", Group: 3, HasGroup: true, WaitMillis: 250, MinPosition: 12.5}, route("/* c=report,cluster=3, d=250,after=12.5 */ BEGIN", false))
 	require.Equal(t, Route{Class: "donate"}, route("/* mind the gap = wide */ BEGIN", false))
 	for _, bad := range []string{"d=x", "after=-1", "cluster=1e9", "d=1e999"} {
-		q := Scan("/* " + bad + " */ BEGIN")
+		q := ParseQuery("/* " + bad + " */ BEGIN")
 		_, err := d.Route(&q, false)
 		require.ErrorContains(t, err, "no number that fits")
 	}
