--- a/internal/session/session_test.go
+++ b/internal/session/session_test.go
@@ -11,7 +11,7 @@
 
 // replay passes steps to a tracker: a statement, optionally with "->" and its tag; "!" for an error; "=I" for
 // a status.
-func replay(tracker *Tracker, steps ...string) {
+func replay(tracker *SettingsTracker, steps ...string) {
 	for _, step := range steps {
 		switch {
 		case step == "!":
@@ -20,7 +20,7 @@
 			tracker.Ready(step[1])
 		default:
 			text, tag, _ := strings.Cut(step, "->")
-			q := Scan(text)
+			q := ParseQuery(text)
 			tracker.Completed(&q.Statements[0], tag)
 		}
 	}
@@ -46,18 +46,18 @@
 		"begin joins what was before": {[]string{"SET a TO 1", "BEGIN", "=T", "ROLLBACK", "=I"}, ""},
 		"discard":                     {[]string{"SET a TO 1", "=I", "DISCARD ALL", "=I"}, ""},
 	} {
-		tr := NewTracker(NoSettings)
+		tr := NewSettingsTracker(NoSettings)
 		replay(&tr, c.steps...)
 		got := strings.TrimPrefix(tr.Settings().Rendering("a"), "SET a TO ")
 		require.Equal(t, c.want, got, name)
 		require.False(t, tr.StateUnknown(), name)
 		require.False(t, tr.InBlock(), name)
 	}
-	tr := NewTracker(NoSettings)
+	tr := NewSettingsTracker(NoSettings)
 	replay(&tr, "BEGIN", "=T", "SET a TO 1")
 	replay(&tr, "=I") // the block ended without a statement that ends it
 	require.True(t, tr.StateUnknown())
-	tr.Lost()
+	tr.DiscardUncommitted()
 	require.Same(t, NoSettings, tr.Settings())
 }
 
@@ -72,7 +72,7 @@
 	require.Equal(t, `SELECT pg_catalog.set_config('a',  E'it''s \\ so', false)`, StartupRendering("a", `it's \ so`))
 	// RESET sets the connection's default instead of the session's startup value. RestoreQuery corrects that.
 	start := NoSettings.With("a", "SET a TO 7")
-	tr := NewTracker(start)
+	tr := NewSettingsTracker(start)
 	replay(&tr, "SET a TO 8", "=I", "RESET a", "=I")
 	require.Equal(t, "SET a TO 7;", RestoreQuery(tr.SettingsOnServer(), tr.Settings()))
 	tr.Restored()
@@ -97,7 +97,7 @@
 	}
 	rapid.Check(t, func(r *rapid.T) {
 		m := settingsModel{current: map[string]string{}}
-		tr := NewTracker(NoSettings)
+		tr := NewSettingsTracker(NoSettings)
 		for range rapid.IntRange(1, 40).Draw(r, "steps") {
 			name := rapid.SampledFrom([]string{"a", "b"}).Draw(r, "name")
 			value := fmt.Sprint(rapid.IntRange(0, 3).Draw(r, "value"))
@@ -274,12 +274,12 @@
 	p.Sync()
 	receive(t, p, "1", "Z:I")
 	s.Clear()
-	q := Scan("SELECT 0; EXECUTE a")
+	q := ParseQuery("SELECT 0; EXECUTE a")
 	out := p.Query("SELECT 0; EXECUTE a", q)
 	require.Equal(t, "SELECT 0; EXECUTE "+p.Find("a").Name(), out.Text)
 	require.Len(t, out.Before, 1)
 	require.Equal(t, "TDCTDCZ", receive(t, p, "1", "Z:I", "T", "D", "C:SELECT 1", "T", "D", "C:SELECT 1", "Z:I"))
-	p.Query("DEALLOCATE ALL", Scan("DEALLOCATE ALL"))
+	p.Query("DEALLOCATE ALL", ParseQuery("DEALLOCATE ALL"))
 	require.Equal(t, "CZ", receive(t, p, "C:DEALLOCATE ALL", "Z:I"))
 	require.Zero(t, p.Len())
 	require.Zero(t, s.Len())
@@ -304,7 +304,7 @@
 	p.SettingsSent()
 	require.Equal(t, ServerAction{Drop: true}, p.HandleServerMessage('C', "SET"))
 	require.Equal(t, ServerAction{Drop: true, Failed: true}, p.HandleServerMessage('E', "22023"))
-	require.Equal(t, ServerAction{Drop: true, Injected: true, Failed: true}, p.HandleServerMessage('Z', "I"))
+	require.Equal(t, ServerAction{Drop: true, SettingsApplied: true, Failed: true}, p.HandleServerMessage('Z', "I"))
 	require.True(t, p.Idle())
 }
 
@@ -335,16 +335,16 @@
 		p, _, _ := newTestPipeline()
 		p.Link(NewServerStatements(1), c.readOnly)
 		for _, text := range c.answered {
-			p.Query(text, Scan(text))
+			p.Query(text, ParseQuery(text))
 			receive(t, p, "C:"+text, "Z:T")
 		}
 		for _, text := range c.pending {
-			p.Query(text, Scan(text))
+			p.Query(text, ParseQuery(text))
 		}
-		loss := p.Lose(!c.unsent)
+		loss := p.HandleConnectionLoss(!c.unsent)
 		require.Equal(t, c.state, loss.SQLState, name)
 		require.Equal(t, string(c.status), string(p.Status()), name)
-		require.Equal(t, c.cycles, loss.Cycles, name)
+		require.Equal(t, c.cycles, loss.PendingReadyForQuery, name)
 		require.Equal(t, c.silent, loss.Silent, name)
 		require.Equal(t, c.status == 'E', p.BlockLost(), name)
 	}
@@ -363,15 +363,15 @@
 	} {
 		p, _, _ := newTestPipeline()
 		if c.block != "" {
-			p.Query("BEGIN", Scan("BEGIN"))
+			p.Query("BEGIN", ParseQuery("BEGIN"))
 			receive(t, p, "C:BEGIN", "Z:T")
 		}
-		p.Query(c.text, Scan(c.text))
+		p.Query(c.text, ParseQuery(c.text))
 		receive(t, p, c.answers...)
-		require.Equal(t, c.state, p.Lose(true).SQLState, "%s %v", c.text, c.answers)
+		require.Equal(t, c.state, p.HandleConnectionLoss(true).SQLState, "%s %v", c.text, c.answers)
 		p, _, _ = newTestPipeline()
 		if c.block != "" {
-			p.Query("BEGIN", Scan("BEGIN"))
+			p.Query("BEGIN", ParseQuery("BEGIN"))
 			receive(t, p, "C:BEGIN", "Z:T")
 		}
 		p.parse("", c.text)
@@ -379,14 +379,14 @@
 		p.Execute("")
 		p.Sync()
 		receive(t, p, append([]string{"1", "2"}, c.answers...)...)
-		require.Equal(t, c.state, p.Lose(true).SQLState, "extended: %s %v", c.text, c.answers)
+		require.Equal(t, c.state, p.HandleConnectionLoss(true).SQLState, "extended: %s %v", c.text, c.answers)
 	}
 	// Without its Sync a pipeline cannot have committed anything, and the rest of it is skipped.
 	p, c, _ := newTestPipeline()
 	p.parse("", "INSERT")
 	p.Bind("", "")
 	p.Execute("")
-	loss := p.Lose(true)
+	loss := p.HandleConnectionLoss(true)
 	require.Equal(t, Loss{SQLState: SQLStateSafeToRetry, Text: loss.Text}, loss)
 	require.True(t, p.Skipping())
 	require.Zero(t, c.Len())
--- a/internal/session/settings.go
+++ b/internal/session/settings.go
@@ -139,12 +139,12 @@
 	settings *Settings
 }
 
-// Tracker tracks the settings of one session through its transactions. Its zero value is not usable; see
-// NewTracker.
+// SettingsTracker tracks the settings of one session through its transactions. Its zero value is not usable; see
+// NewSettingsTracker.
 //
 // Statements outside a transaction block that are sent together (a query string, or a pipeline up to its
 // Sync) are one implicit transaction, as on the server: an error in the last one undoes a SET in the first.
-type Tracker struct {
+type SettingsTracker struct {
 	// startup are the settings that the client requested when it connected. RESET returns to them.
 	startup *Settings
 	current *Settings
@@ -161,23 +161,23 @@
 	resetNames []string
 }
 
-// NewTracker returns the tracker of a session that connected with the settings startup.
-func NewTracker(startup *Settings) Tracker {
-	return Tracker{startup: startup, current: startup, atBegin: startup}
+// NewSettingsTracker returns the tracker of a session that connected with the settings startup.
+func NewSettingsTracker(startup *Settings) SettingsTracker {
+	return SettingsTracker{startup: startup, current: startup, atBegin: startup}
 }
 
 // Settings returns the session's current settings.
-func (t *Tracker) Settings() *Settings { return t.current }
+func (t *SettingsTracker) Settings() *Settings { return t.current }
 
 // InBlock reports whether the session is in a transaction block.
-func (t *Tracker) InBlock() bool { return t.inBlock }
+func (t *SettingsTracker) InBlock() bool { return t.inBlock }
 
 // StateUnknown reports whether the server is in a state that the statements seen do not explain. The settings
 // on its connection are then unknown.
-func (t *Tracker) StateUnknown() bool { return t.stateUnknown }
+func (t *SettingsTracker) StateUnknown() bool { return t.stateUnknown }
 
 // SettingsOnServer returns the settings of the connection that ran the session's statements.
-func (t *Tracker) SettingsOnServer() *Settings {
+func (t *SettingsTracker) SettingsOnServer() *Settings {
 	settings := t.current
 	for _, name := range t.resetNames {
 		settings = settings.With(name, unknownRendering)
@@ -186,10 +186,10 @@
 }
 
 // Restored records that the session's settings have been applied to the connection.
-func (t *Tracker) Restored() { t.resetNames = t.resetNames[:0] }
+func (t *SettingsTracker) Restored() { t.resetNames = t.resetNames[:0] }
 
 // Completed records a statement that the server completed with this tag.
-func (t *Tracker) Completed(s *Statement, tag string) {
+func (t *SettingsTracker) Completed(s *Statement, tag string) {
 	switch s.Kind {
 	case Begin:
 		t.inBlock = true
@@ -214,7 +214,7 @@
 			t.stateUnknown = true
 		}
 	case Set:
-		t.current = t.current.With(s.Name, s.Render)
+		t.current = t.current.With(s.Name, s.Rendering)
 	case Reset:
 		t.reset(s.Name)
 	case ResetAll:
@@ -226,7 +226,7 @@
 	}
 }
 
-func (t *Tracker) reset(name string) {
+func (t *SettingsTracker) reset(name string) {
 	rendering := t.startup.Rendering(name)
 	t.current = t.current.With(name, rendering)
 	if rendering != "" && !slices.Contains(t.resetNames, name) {
@@ -234,7 +234,7 @@
 	}
 }
 
-func (t *Tracker) resetAll() {
+func (t *SettingsTracker) resetAll() {
 	// RESET ALL leaves the role and the session authorization as they are.
 	role, authorization := t.current.Rendering("role"), t.current.Rendering("session_authorization")
 	t.current = t.startup
@@ -246,7 +246,7 @@
 }
 
 // findSavepoint returns the index of the latest savepoint of that name, or -1.
-func (t *Tracker) findSavepoint(name string) int {
+func (t *SettingsTracker) findSavepoint(name string) int {
 	for i := len(t.savepoints) - 1; i >= 0; i-- {
 		if t.savepoints[i].name == name {
 			return i
@@ -256,7 +256,7 @@
 }
 
 // endTransaction ends the transaction. Unless it committed, the settings return to those at its beginning.
-func (t *Tracker) endTransaction(commit bool) {
+func (t *SettingsTracker) endTransaction(commit bool) {
 	if !commit {
 		t.current = t.atBegin
 	}
@@ -264,10 +264,10 @@
 }
 
 // Failed records an error of the server.
-func (t *Tracker) Failed() { t.failed = true }
+func (t *SettingsTracker) Failed() { t.failed = true }
 
 // Ready records the status of a ReadyForQuery: 'I' idle, 'T' in a transaction block, 'E' in a failed block.
-func (t *Tracker) Ready(status byte) {
+func (t *SettingsTracker) Ready(status byte) {
 	switch status {
 	case 'I':
 		if t.inBlock { // the block ended without a statement that ends it
@@ -284,8 +284,8 @@
 	t.failed = false
 }
 
-// Lost records the loss of the server connection, which rolls back everything that was not committed.
-func (t *Tracker) Lost() {
+// DiscardUncommitted records the loss of the server connection, which rolls back everything that was not committed.
+func (t *SettingsTracker) DiscardUncommitted() {
 	t.endTransaction(false)
 	t.failed, t.stateUnknown = false, false
 	t.resetNames = t.resetNames[:0]
--- a/internal/session/statement.go
+++ b/internal/session/statement.go
@@ -30,8 +30,8 @@
 	Kind StatementKind
 	// Name is the name of a setting (in lower case), a savepoint or a prepared statement.
 	Name string
-	// Render is, for Set, the SQL text that sets the same value on another connection.
-	Render string
+	// Rendering is, for Set, the SQL text that sets the same value on another connection.
+	Rendering string
 	// ReadOnly is set for a Begin with READ ONLY.
 	ReadOnly bool
 	// Writable is set for a Begin with READ WRITE.
@@ -74,15 +74,15 @@
 	return len(q.Statements) > 0 && (q.Statements[0].Kind == Commit || q.Statements[0].Kind == Rollback)
 }
 
-// MayFollowError reports whether a query may run in a failed block: it ends the block, rolls back to a
+// MayRunInFailedBlock reports whether a query may run in a failed block: it ends the block, rolls back to a
 // savepoint, or is empty.
-func (q *Query) MayFollowError() bool {
+func (q *Query) MayRunInFailedBlock() bool {
 	return len(q.Statements) == 0 || q.EndsBlock() || q.Statements[0].Kind == RollbackTo
 }
 
-// Scan parses a query string. It never fails: for a text that it cannot parse, it returns a statement that
+// ParseQuery parses a query string. It never fails: for a text that it cannot parse, it returns a statement that
 // makes the session sticky, since the effect of the text is unknown.
-func Scan(text string) Query {
+func ParseQuery(text string) Query {
 	var q Query
 	s := scanner{text: text}
 	s.readLeadingComment(&q)
--- a/internal/session/statements.go
+++ b/internal/session/statements.go
@@ -15,8 +15,8 @@
 // interpretationSettings are the settings that affect how the text of a statement is interpreted.
 var interpretationSettings = [...]string{"search_path", "role", "session_authorization", "standard_conforming_strings"}
 
-// Prepared is a prepared statement. All sessions that prepared the same statement share it.
-type Prepared struct {
+// PreparedStatement is a prepared statement. All sessions that prepared the same statement share it.
+type PreparedStatement struct {
 	Key  Key
 	Text string
 	// Params are the parameter types as in a Parse message: a count of two bytes, then an object ID of four
@@ -28,10 +28,10 @@
 }
 
 // Name returns the name of the statement on server connections.
-func (p *Prepared) Name() string { return "as_" + hex.EncodeToString(p.Key[:]) }
+func (p *PreparedStatement) Name() string { return "as_" + hex.EncodeToString(p.Key[:]) }
 
 // Bytes returns the approximate memory that the statement uses.
-func (p *Prepared) Bytes() int { return len(p.Text) + len(p.Params) + 160 }
+func (p *PreparedStatement) Bytes() int { return len(p.Text) + len(p.Params) + 160 }
 
 // KeyOf returns the key of a statement.
 func KeyOf(text string, params []byte, settings *Settings) (key Key) {
@@ -53,7 +53,7 @@
 
 // Catalogue holds one copy of each statement that any session has prepared.
 type Catalogue struct {
-	statements map[Key]*Prepared
+	statements map[Key]*PreparedStatement
 	bytes      int
 	// maxBytes is the limit of bytes; 0: no limit.
 	maxBytes int
@@ -61,7 +61,7 @@
 
 // NewCatalogue returns a catalogue that holds at most maxBytes; 0: no limit.
 func NewCatalogue(maxBytes int) *Catalogue {
-	return &Catalogue{statements: map[Key]*Prepared{}, maxBytes: maxBytes}
+	return &Catalogue{statements: map[Key]*PreparedStatement{}, maxBytes: maxBytes}
 }
 
 // SetMaxBytes changes the limit for statements that are added from now on.
@@ -75,24 +75,24 @@
 
 // Acquire returns a statement with one more reference, and adds the statement if it is new. It returns nil if
 // a new one would exceed the limit.
-func (c *Catalogue) Acquire(text string, params []byte, settings *Settings) *Prepared {
+func (c *Catalogue) Acquire(text string, params []byte, settings *Settings) *PreparedStatement {
 	key := KeyOf(text, params, settings)
 	if p := c.statements[key]; p != nil {
 		p.references++
 		return p
 	}
-	p := &Prepared{Key: key, Text: text, Params: append([]byte(nil), params...), references: 1}
+	p := &PreparedStatement{Key: key, Text: text, Params: append([]byte(nil), params...), references: 1}
 	if c.maxBytes > 0 && c.bytes+p.Bytes() > c.maxBytes {
 		return nil
 	}
-	p.Query = Scan(text)
+	p.Query = ParseQuery(text)
 	c.statements[key] = p
 	c.bytes += p.Bytes()
 	return p
 }
 
 // Release drops a reference to a statement, and removes the statement with the last one. p may be nil.
-func (c *Catalogue) Release(p *Prepared) {
+func (c *Catalogue) Release(p *PreparedStatement) {
 	if p == nil {
 		return
 	}
@@ -107,21 +107,21 @@
 // only when the server confirms it, because an error skips the rest of the pipeline up to Sync.
 type StatementNames struct {
 	catalogue   *Catalogue
-	established map[string]*Prepared
+	established map[string]*PreparedStatement
 	requested   []nameChange
 }
 
 // nameChange is a requested change of the statement that a name stands for.
 type nameChange struct {
 	name     string
-	prepared *Prepared // nil: the name is closed
+	prepared *PreparedStatement // nil: the name is closed
 }
 
 // NewStatementNames returns an empty set of names, whose statements are held in the catalogue.
 func NewStatementNames(c *Catalogue) StatementNames { return StatementNames{catalogue: c} }
 
 // Find returns the statement that a name stands for at this point of the pipeline; nil if there is none.
-func (n *StatementNames) Find(name string) *Prepared {
+func (n *StatementNames) Find(name string) *PreparedStatement {
 	for i := len(n.requested) - 1; i >= 0; i-- {
 		if n.requested[i].name == name {
 			return n.requested[i].prepared
@@ -132,7 +132,7 @@
 
 // Request records a requested Parse or, if p is nil, a requested Close. It takes over the caller's reference
 // to p.
-func (n *StatementNames) Request(name string, p *Prepared) {
+func (n *StatementNames) Request(name string, p *PreparedStatement) {
 	n.requested = append(n.requested, nameChange{name, p})
 }
 
@@ -151,7 +151,7 @@
 		return
 	}
 	if n.established == nil {
-		n.established = map[string]*Prepared{}
+		n.established = map[string]*PreparedStatement{}
 	}
 	n.established[change.name] = change.prepared
 }
--- a/internal/session/tenantqueue_test.go
+++ b/internal/session/tenantqueue_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestGroupFor(t *testing.T) {
-	d := Defaults{ReadOnly: "r", ReadWrite: "w", Group: 1}
+	d := RouteDefaults{ReadOnly: "r", ReadWrite: "w", Group: 1}
 	for _, c := range []struct {
 		text       string
 		assignment Assignment
@@ -23,7 +23,7 @@
 		{"/* cluster=1 */ SELECT 1", Assignment{HasGroup: true, Group: 2}, 0, true},
 		{"/* cluster=0 */ SELECT 1", Assignment{HasGroup: true, Group: 2}, 0, true},
 	} {
-		q := Scan(c.text)
+		q := ParseQuery(c.text)
 		r, err := d.Route(&q, false)
 		require.NoError(t, err)
 		group, err := c.assignment.GroupFor("orders", &r)
--- a/internal/warmstate/age.go
+++ b/internal/warmstate/age.go
@@ -38,8 +38,8 @@
 	Reason string  `json:"why,omitempty"` // why it is ignored
 }
 
-// Aged is what remains of a snapshot after its facts were weighted by their age.
-type Aged struct {
+// AgedSnapshot is what remains of a snapshot after its facts were weighted by their age.
+type AgedSnapshot struct {
 	State      routing.RouterState
 	IdleResets *IdleResets
 	Facts      []FactAge
@@ -47,13 +47,13 @@
 
 // ApplyAge weights the facts of a snapshot by their age at now (Unix milliseconds), for the pooler name and
 // the site with this hash. ageingDisabled switches ageing off, to show that its checker can fail.
-func ApplyAge(s *Snapshot, now float64, name, siteHash string, ageingDisabled bool) Aged {
+func ApplyAge(s *Snapshot, now float64, name, siteHash string, ageingDisabled bool) AgedSnapshot {
 	age := now - s.Header.WrittenAt
 	a := ager{snapshotAge: max(0, age), ageingDisabled: ageingDisabled}
 	if !ageingDisabled {
 		a.ignoreReason = ignoreReason(s.Header, age, name, siteHash)
 	}
-	var out Aged
+	var out AgedSnapshot
 	for _, h := range s.Hosts {
 		if host, counts := a.ageHost(h); counts {
 			out.State.Hosts = append(out.State.Hosts, host)
--- a/internal/warmstate/warmstate_test.go
+++ b/internal/warmstate/warmstate_test.go
@@ -101,7 +101,7 @@
 
 func TestFactsLoseWeightWithAge(t *testing.T) {
 	const minute, hour = 60e3, 3600e3
-	at := func(now float64) Aged { return ApplyAge(fullSnapshot(), now, "n1", "site", false) }
+	at := func(now float64) AgedSnapshot { return ApplyAge(fullSnapshot(), now, "n1", "site", false) }
 	fresh := at(1e12)
 	require.InDelta(t, 40, fresh.State.Hosts[0].Limit, 0.01)
 	require.Equal(t, 30*time.Millisecond, fresh.State.Hosts[0].Lag)
@@ -117,7 +117,7 @@
 	require.Len(t, afterThreeHours.State.Classes, 1, "how long a class takes stays true for longer")
 	// A snapshot that is older than a day, from the future, or of another pooler or site is ignored, with a
 	// reason.
-	for why, w := range map[string]Aged{
+	for why, w := range map[string]AgedSnapshot{
 		"older than a day": at(1e12 + 25*hour), "ran backwards": at(1e12 - hour), "year": at(1e12 + 365*24*hour),
 		`pooler "n1"`: ApplyAge(fullSnapshot(), 1e12, "n2", "site", false), "another site": ApplyAge(fullSnapshot(), 1e12, "n1", "other", false),
 	} {
--- a/routing/admission.go
+++ b/routing/admission.go
@@ -18,13 +18,13 @@
 // The parts of a group's requests: reads that replicas serve, and requests that the primary serves.
 const forReplicas, forPrimary = 0, 1
 
-func (k *class) needsPrimary() bool { return k.part == forPrimary }
+func (k *class) needsPrimary() bool { return k.servingRole == forPrimary }
 
 func (req *request) admission(m *member) *admission {
 	if m == req.group.primary() {
 		return &req.group.admissions[forPrimary]
 	}
-	return &req.group.admissions[req.class.part]
+	return &req.group.admissions[req.class.servingRole]
 }
 
 type tenant struct {
@@ -73,15 +73,15 @@
 		k.offeredWeight += k.PriorityWeight
 		r.offeredWeight += k.PriorityWeight
 	}
-	smooth(&r.writeFraction, float64(k.part), writeFractionSpan)
+	smooth(&r.writeFraction, float64(k.servingRole), writeFractionSpan)
 	r.advanceHistory(g).requests++
-	mean := &r.meanWeight[k.part]
+	mean := &r.meanWeight[k.servingRole]
 	*mean = cmp.Or(*mean, k.PriorityWeight)
 	smooth(mean, req.weight, weightSpan)
 	r.retryBudget = min(max(1, retryBudgetCap/float64(r.cfg.RouterCount)), r.retryBudget+retryBudgetRatio)
 	earnedProbes := probeCostFraction / max(r.cfg.Probing.Cost, probeCostFraction/2)
 	r.probeBudget = min(probeBudgetCap, r.probeBudget+earnedProbes)
-	if req.sample > 1-g.admissions[k.part].shedFraction**mean/max(req.weight, 1e-9) {
+	if req.sample > 1-g.admissions[k.servingRole].shedFraction**mean/max(req.weight, 1e-9) {
 		r.giveUp(req, EndShed)
 		return
 	} else if req.isRetry { // the request that its client repeats has drawn already
--- a/routing/admission_test.go
+++ b/routing/admission_test.go
@@ -7,7 +7,7 @@
 
 // A warming member gets far fewer requests than a warm one, however many arrive.
 func TestSlowStart(t *testing.T) {
-	hosts := shard()
+	hosts := testGroup()
 	hosts[1].StartedAt = startTime - 100*ms
 	g := startHarness(t, settings(), hosts...)
 	count := map[string]int{}
@@ -25,8 +25,8 @@
 
 // Slow answers lower a member's in-flight limit, so that requests queue at the router.
 func TestLimitFallsWithSlowAnswers(t *testing.T) {
-	g := startHarness(t, settings(), shard()...)
-	m := g.c.members["p"]
+	g := startHarness(t, settings(), testGroup()...)
+	m := g.router.members["p"]
 	for range 20 {
 		g.now += 500 * ms
 		id, _ := g.request(strongRead, RequestArrived{})
@@ -40,8 +40,8 @@
 // A client that disconnects early has waited too long, so its pending attempt lowers the member's in-flight
 // limit.
 func TestDisconnectingClientsLowerTheLimit(t *testing.T) {
-	g := startHarness(t, settings(), shard()[:1]...)
-	m := g.c.members["p"]
+	g := startHarness(t, settings(), testGroup()[:1]...)
+	m := g.router.members["p"]
 	for range 20 {
 		id, _ := g.request(boundedRead, RequestArrived{})
 		g.now += 200 * ms
@@ -53,7 +53,7 @@
 	}
 	many := settings()
 	many.RouterCount = 300
-	g = startHarness(t, many, shard()...)
+	g = startHarness(t, many, testGroup()...)
 	for range 20 { // with many routers the group is shed as well
 		id, _ := g.request(atMostOnceWrite, RequestArrived{})
 		g.now += 200 * ms
@@ -61,7 +61,7 @@
 		g.step(AttemptEnded{ID: id, Code: Cancelled, Final: true})
 		g.now += time.Second
 	}
-	if shed := g.c.groups[1].admissions[1].shedFraction; shed < 0.5 {
+	if shed := g.router.groups[1].admissions[1].shedFraction; shed < 0.5 {
 		t.Errorf("after 20 clients left, %.2f of the writes are shed", shed)
 	}
 }
@@ -83,7 +83,7 @@
 	} {
 		s := settings()
 		s.RouterCount = tc.routers
-		g := startHarness(t, s, shard()[:1]...)
+		g := startHarness(t, s, testGroup()[:1]...)
 		for range 20 {
 			id, _ := g.request(atMostOnceWrite, RequestArrived{})
 			g.now += tc.elapsed
@@ -91,13 +91,13 @@
 			g.step(ClientGone{ID: id})
 			g.now += time.Second
 		}
-		if shed := g.c.groups[1].admissions[1].shedFraction; shed < tc.least || shed > tc.most {
+		if shed := g.router.groups[1].admissions[1].shedFraction; shed < tc.least || shed > tc.most {
 			t.Errorf("%s: %.2f of the requests are shed, want %.2f to %.2f", tc.name, shed, tc.least, tc.most)
 		}
 	}
 	s := settings()
 	s.RouterCount = 400
-	g := startHarness(t, s, shard()...)
+	g := startHarness(t, s, testGroup()...)
 	for i := range 60 { // one host in six hangs
 		id, _ := g.request(atMostOnceWrite, RequestArrived{})
 		code, elapsed := OK, 50*ms
@@ -108,7 +108,7 @@
 		g.step(AttemptEnded{ID: id, Code: code, Role: Primary, Final: code == OK, Elapsed: elapsed})
 		g.now += time.Second
 	}
-	if shed := g.c.groups[1].admissions[1].shedFraction; shed > 0.1 {
+	if shed := g.router.groups[1].admissions[1].shedFraction; shed > 0.1 {
 		t.Errorf("one lost attempt in six sheds %.2f", shed)
 	}
 }
@@ -117,11 +117,11 @@
 func TestRetriesAreShedFirst(t *testing.T) {
 	s := settings()
 	s.RouterCount = 400
-	g := startHarness(t, s, shard()...)
+	g := startHarness(t, s, testGroup()...)
 	g.reportPositions(Replica, 0, "a", "b", "c")
 	isRejected := func(isRetry bool) bool {
 		id, actions := g.request(eventualRead, RequestArrived{TimeRemaining: 1300 * ms, IsRetry: isRetry})
-		if r := g.c.requests[id]; r != nil && r.inFlight > 0 {
+		if r := g.router.requests[id]; r != nil && r.inFlight > 0 {
 			g.step(AttemptEnded{ID: id, Code: OK, Role: Replica, Final: true, Elapsed: 50 * ms})
 		}
 		found, _ := actionsOf(ActReject, actions)
@@ -136,14 +136,14 @@
 		t.Error("a retry was rejected though nothing is shed")
 	}
 	s.Classes[eventualRead].LateFraction = 0 // a router copies the classes' settings, so this needs a new one
-	g = startHarness(t, s, shard()...)
+	g = startHarness(t, s, testGroup()...)
 	for range 20 {
 		isRejected(false)
 	}
-	g.c.groups[1].admissions[0].shedFraction = 0.1
+	g.router.groups[1].admissions[0].shedFraction = 0.1
 	rejectedRetries, rejectedFirstAttempts := 0, 0
 	for range 30 {
-		g.c.groups[1].admissions[0].shedFraction = 0.1
+		g.router.groups[1].admissions[0].shedFraction = 0.1
 		if isRejected(true) {
 			rejectedRetries++
 		}
@@ -163,12 +163,12 @@
 	s := settings()
 	s.RouterCount, s.OverQuotaFraction = 100, 0.1
 	s.Tenants = []Tenant{{Name: "small", Quota: 50}, {Name: "large", Quota: 1000}}
-	g := startHarness(t, s, shard()...)
+	g := startHarness(t, s, testGroup()...)
 	rejected := [3]int{}
 	for range 400 {
 		for tenant := 1; tenant <= 2; tenant++ { // 200 a second each, if all routers see as much
 			g.now += 250 * ms
-			g.c.groups[1].admissions[0].shedFraction, g.c.groups[1].admissions[0].inTimeFraction = 0.3, 1
+			g.router.groups[1].admissions[0].shedFraction, g.router.groups[1].admissions[0].inTimeFraction = 0.3, 1
 			id, actions := g.request(eventualRead, RequestArrived{Tenant: tenant})
 			if found, _ := actionsOf(ActReject, actions); len(found) > 0 {
 				rejected[tenant]++
--- a/routing/attempts.go
+++ b/routing/attempts.go
@@ -22,17 +22,17 @@
 	weight                           float64 // priority weight, reduced over quota and for retries
 	sample                           float64 // random input of slow start's drawGrant; from 1 on: used up
 	grants                           []slowStartGrant
-	probed                           *member // member whose probe it waited for last
+	lastProbed                       *member // member whose probe it waited for last
 	probedAt                         time.Duration
 }
 
 // attempt is one attempt of a request at a member.
 type attempt struct {
-	member    *member
-	sentAt    time.Duration
-	startedAt time.Duration // when the member's process started, as known at grantedAt
-	grantedAt time.Duration // when slow start allowed the attempt
-	pending   bool
+	member          *member
+	sentAt          time.Duration
+	memberStartedAt time.Duration // when the member's process started, as known at grantedAt
+	grantedAt       time.Duration // when slow start allowed the attempt
+	pending         bool
 }
 
 func (req *request) attempted(m *member) bool {
@@ -105,9 +105,9 @@
 	m.inFlight++
 	m.inFlightByClass[req.class.index]++
 	req.attempts = append(req.attempts, attempt{
-		member: m, sentAt: r.now, startedAt: m.startedAt, grantedAt: r.now, pending: true,
+		member: m, sentAt: r.now, memberStartedAt: m.startedAt, grantedAt: r.now, pending: true,
 	})
-	r.settleGrants(req, m)
+	r.refundUnusedGrants(req, m)
 	if r.isWarming(m) { // the sample covers one attempt: a retry draws no grant with it
 		req.useUpSample()
 	}
@@ -136,7 +136,7 @@
 	a.member.inFlightByClass[req.class.index]--
 	a.member.waitingSince = r.now
 	r.recordOutcome(a, req, e)
-	if e.Execution == NotBegun && a.startedAt == a.member.startedAt { // nothing was written to the host
+	if e.Execution == NotBegun && a.memberStartedAt == a.member.startedAt { // nothing was written to the host
 		r.refund(a.member, a.member.slowStartCost(req.class))
 		req.redraw(r.rng.Float64())
 	}
@@ -247,7 +247,7 @@
 	k.latency = smoothLatency(k.latency, elapsed)
 	k.serviceTime = min(elapsed, k.serviceTime+max(k.serviceTime/64, time.Millisecond))
 	if elapsed <= k.LatencyObjective {
-		r.recordBorne(m)
+		r.recordTimelyAnswer(m)
 	}
 	if elapsed > k.LatencyObjective*3/4 {
 		r.raiseShedding(a, 0.5)
--- a/routing/attempts_test.go
+++ b/routing/attempts_test.go
@@ -22,7 +22,7 @@
 		{"read with an error", eventualRead, ServerError, ActSend},
 		{"attempt never sent", eventualRead, NotSent, ActSend}, // not written in time: another member is chosen
 	} {
-		g := startHarness(t, settings(), shard()...)
+		g := startHarness(t, settings(), testGroup()...)
 		id, _ := g.request(tc.class, RequestArrived{})
 		actions := append(g.outcome(id, 0, tc.code, Unknown), g.advance(2*minLatency+tickInterval)...) // a host that rejected gets no attempt for a while
 		if found, _ := actionsOf(tc.want, actions); len(found) != 1 {
@@ -34,7 +34,7 @@
 // Guards against a read that stays queued to the end of its time and is rejected only then. A read that was never
 // sent is rejected by half of its time, with a Retry-After.
 func TestUnsentReadsAreRejectedAtHalfTime(t *testing.T) {
-	hosts := shard()
+	hosts := testGroup()
 	hosts[0].Primary = false // no primary is known, so strong reads wait
 	g := startHarness(t, settings(), hosts...)
 	id, _ := g.request(strongRead, RequestArrived{})
@@ -62,7 +62,7 @@
 	}{{800, 5, true}, {800, 0, false}, {100, 5, false}} {
 		s := settings()
 		s.RouterCount, s.ConnIdleTimeout = tc.routers, 30*time.Second
-		g := startHarness(t, s, shard()...)
+		g := startHarness(t, s, testGroup()...)
 		closed := 0
 		for i := range 200 {
 			g.now += 500 * ms
@@ -110,7 +110,7 @@
 // An attempt carries the position that the data of its answer must have, since what the router knew about the host
 // may no longer hold when the host answers.
 func TestAnAttemptCarriesItsMinPosition(t *testing.T) {
-	g := startHarness(t, settings(), shard()...)
+	g := startHarness(t, settings(), testGroup()...)
 	g.reportPositions(Replica, 5*ms, "a")
 	need := func(class int, e RequestArrived) time.Duration {
 		_, actions := g.request(class, e)
@@ -118,7 +118,7 @@
 		require.Len(t, sends, 1)
 		return sends[0].MinPosition
 	}
-	require.Equal(t, g.now-g.c.cfg.Classes[boundedRead].StalenessBound+positionMargin, need(boundedRead, RequestArrived{}))
+	require.Equal(t, g.now-g.router.cfg.Classes[boundedRead].StalenessBound+positionMargin, need(boundedRead, RequestArrived{}))
 	require.Equal(t, g.now-100*ms+positionMargin, need(sessionRead, RequestArrived{CommitAge: 100 * ms}))
 	require.Zero(t, need(sessionRead, RequestArrived{}))
 	require.Zero(t, need(eventualRead, RequestArrived{}))
--- a/routing/capacity.go
+++ b/routing/capacity.go
@@ -105,8 +105,8 @@
 	return h
 }
 
-// recordBorne counts a timely answer of a member, if its group is settled.
-func (r *Router) recordBorne(m *member) {
+// recordTimelyAnswer counts a timely answer of a member, if its group is settled.
+func (r *Router) recordTimelyAnswer(m *member) {
 	h := r.advanceHistory(m.group)
 	switch {
 	case !r.isSettled(m.group, h.memberCount):
--- a/routing/constants.go
+++ b/routing/constants.go
@@ -46,10 +46,10 @@
 	writeCost       = 2.0 // tokens that a write takes from the budget of a warming primary
 	grantsPerWindow = 4   // a grant is valid for an overload window divided by this
 	learningSeconds = 3.0 // observed time after which the rate that warm members served counts in full
-	keptWindows     = 4.0 // the longest burst window of a slow start budget, in overload windows
+	maxBurstWindows = 4.0 // the longest burst window of a slow start budget, in overload windows
 	minUsedFraction = 0.01
 	minHistory      = 100 * time.Millisecond
-	askedSpan       = 3 * time.Second
+	demandSpan      = 3 * time.Second
 
 	minOverloadWindow = time.Second // also where the settings give none
 
--- a/routing/dedup_test.go
+++ b/routing/dedup_test.go
@@ -7,7 +7,7 @@
 
 // A deduplicated write that may have run is not sent again after its dedup window, not even from the queue.
 func TestDedupWindow(t *testing.T) {
-	g := startHarness(t, settings(), shard()...)
+	g := startHarness(t, settings(), testGroup()...)
 	id, _ := g.request(deduplicatedWrite, RequestArrived{})
 	g.now += 100 * ms
 	g.step(TargetsChanged{Targets: []Target{{Host: "p", Group: 1, Removed: true}}})
@@ -59,7 +59,7 @@
 		{"answers take as long as the window", time.Second, 100 * ms, ActFail},
 		{"past the window", 0, 1100 * ms, ActFail},
 	} {
-		g := startHarness(t, windowed(ScopeCell), shard()...)
+		g := startHarness(t, windowed(ScopeCell), testGroup()...)
 		if tc.usual > 0 {
 			id, _ := g.request(deduplicatedWrite, RequestArrived{})
 			g.now += tc.usual
@@ -76,21 +76,21 @@
 // The dedup window is checked again when an attempt is about to be written: a retry that was chosen within
 // the window but whose connection came up too late is not sent. A first attempt has no window.
 func TestDedupWindowIsCheckedAtTheWrite(t *testing.T) {
-	g := startHarness(t, windowed(ScopeCell), shard()...)
+	g := startHarness(t, windowed(ScopeCell), testGroup()...)
 	first, _ := g.request(deduplicatedWrite, RequestArrived{})
-	if !g.c.Revalidate(g.now+2*time.Second, first, 0) {
+	if !g.router.Revalidate(g.now+2*time.Second, first, 0) {
 		t.Error("a first attempt is limited by a dedup window")
 	}
-	g = startHarness(t, windowed(ScopeCell), shard()...)
+	g = startHarness(t, windowed(ScopeCell), testGroup()...)
 	id, _ := g.request(deduplicatedWrite, RequestArrived{})
 	g.now += 300 * ms
 	if found, _ := actionsOf(ActSend, g.outcome(id, 0, NoAnswer, Unknown)); len(found) != 1 {
 		t.Fatal("no retry within the dedup window")
 	}
-	if g.now += 500 * ms; !g.c.Revalidate(g.now, id, 1) {
+	if g.now += 500 * ms; !g.router.Revalidate(g.now, id, 1) {
 		t.Error("not sent though an answer fits into the window")
 	}
-	if g.now += 150 * ms; g.c.Revalidate(g.now, id, 1) {
+	if g.now += 150 * ms; g.router.Revalidate(g.now, id, 1) {
 		t.Error("sent 950 ms after the first attempt, with a window of 1 s: it can't end inside")
 	}
 	if found, _ := actionsOf(ActFail, g.outcome(id, 1, NotSent, Unknown)); len(found) != 1 {
@@ -101,7 +101,7 @@
 // A retry that still waits in the host's queue when the dedup window ends must not run, so its timeout ends
 // before that.
 func TestRetryTimesOutAtTheEndOfItsDedupWindow(t *testing.T) {
-	g := startHarness(t, windowed(ScopeAll), shard()...)
+	g := startHarness(t, windowed(ScopeAll), testGroup()...)
 	_, actions := g.request(deduplicatedWrite, RequestArrived{})
 	if first, _ := actionsOf(ActSend, actions); first[0].Timeout != time.Second {
 		t.Errorf("the timeout of the first attempt is %v, its latency objective is 1 s", first[0].Timeout)
@@ -135,7 +135,7 @@
 		{"at most once, cancelled", atMostOnceWrite, ScopeCell, 100 * ms, Cancelled, ActFail},
 		{"at most once, misdirected", atMostOnceWrite, ScopeCell, 100 * ms, Misdirected, ActSend},
 	} {
-		g := startHarness(t, windowed(tc.scope), shard()...)
+		g := startHarness(t, windowed(tc.scope), testGroup()...)
 		id, _ := g.request(tc.class, RequestArrived{})
 		g.now += 200 * ms // the first attempt does not connect: the window does not start there
 		actions := append(g.outcome(id, 0, NoConnection, Unknown), g.advance(searchBackoff)...)
--- a/routing/fleet_test.go
+++ b/routing/fleet_test.go
@@ -95,7 +95,7 @@
 func TestFleetSlowStart(t *testing.T) {
 	for _, routers := range []int{1, 300} {
 		for name, cold := range map[string][]string{"one": {"a"}, "all": {"a", "b", "c"}} {
-			hosts := shard()
+			hosts := testGroup()
 			for i := range hosts {
 				for _, h := range cold {
 					if hosts[i].Host == h {
@@ -118,7 +118,7 @@
 // don't count.
 func TestFleetSlowStartAfterReplacement(t *testing.T) {
 	for _, routers := range []int{1, 80} {
-		f := newFleet(t, routers, shard())
+		f := newFleet(t, routers, testGroup())
 		f.answers = answerQuickly
 		f.list(Target{Host: "x", Group: 1, StartedAt: startTime}, Target{Host: "y", Group: 1, StartedAt: startTime},
 			Target{Host: "z", Group: 1, StartedAt: startTime}, Target{Host: "a", Group: 1, Removed: true},
@@ -136,11 +136,11 @@
 // Writes that were queued at every router while the group was down don't all reach a restarted member at
 // once, whether they search for the primary or know it.
 func TestFleetReleasesQueuedWritesSlowly(t *testing.T) {
-	hosts := shard()
+	hosts := testGroup()
 	for i := range hosts {
 		hosts[i].Removed = true
 	}
-	f := newFleet(t, 300, shard())
+	f := newFleet(t, 300, testGroup())
 	f.list(hosts...)
 	f.play(300, atMostOnceWrite)
 	for i := range hosts {
@@ -169,7 +169,7 @@
 // Only reads that need a position send probes, at most maxProbesPerRead each. A router sends none when it
 // starts.
 func TestFleetProbes(t *testing.T) {
-	f := newFleet(t, 300, shard())
+	f := newFleet(t, 300, testGroup())
 	f.answers = answerQuickly
 	if f.probes > 0 {
 		t.Errorf("%d probes before any request", f.probes)
@@ -186,7 +186,7 @@
 
 // When every attempt fails late, all routers together make few retries.
 func TestFleetRetries(t *testing.T) {
-	f := newFleet(t, 300, shard())
+	f := newFleet(t, 300, testGroup())
 	f.answers = func(string, int) (Code, Role, time.Duration) { return NoAnswer, Unknown, 380 * ms }
 	f.play(900, eventualRead)
 	total := 0
@@ -228,10 +228,10 @@
 // When members are added, they get some of the reads although the routers have connections to others, but no
 // more than their share.
 func TestFleetGrowth(t *testing.T) {
-	f := newFleet(t, 200, shard())
+	f := newFleet(t, 200, testGroup())
 	f.answers = answerQuickly
 	f.play(4000, eventualRead)
-	grown := shard()
+	grown := testGroup()
 	for i := range 4 {
 		grown = append(grown, Target{Host: fmt.Sprint("new", i), Group: 1, StartedAt: f.now})
 	}
--- a/routing/groupclock.go
+++ b/routing/groupclock.go
@@ -15,21 +15,21 @@
 // ones: a clock that is ahead does not let a read get older data. A lag makes slow start more careful: a host
 // that has just started is not taken for a warm one.
 type groupClock struct {
-	source   *member         // the member that sent the reports
-	reports  []time.Duration // how far each was ahead of the router's clock; negative: behind
-	lead     time.Duration   // how far ahead reads take the group's clock to be
-	proven   time.Duration   // the lead on which enough reports agree; a position beyond it is garbled
-	provenAt time.Duration   // when enough reports last agreed on that lead, or on a greater one
-	lag      time.Duration   // how far behind slow start takes the group's clock to be; 0 if it leads
+	source       *member         // the member that sent the reports
+	reports      []time.Duration // how far each was ahead of the router's clock; negative: behind
+	lead         time.Duration   // how far ahead reads take the group's clock to be
+	provenLead   time.Duration   // the lead on which enough reports agree; a position beyond it is garbled
+	leadProvenAt time.Duration   // when enough reports last agreed on that lead, or on a greater one
+	lag          time.Duration   // how far behind slow start takes the group's clock to be; 0 if it leads
 }
 
 // present returns the time now on the clock on which a group's positions are given.
-func (r *Router) present(g *group) time.Duration { return r.now + g.clock.lead }
+func (r *Router) groupNow(g *group) time.Duration { return r.now + g.clock.lead }
 
-// isFromTheFuture reports whether a position is ahead of the group's clock, so that no host can have it.
-func (r *Router) isFromTheFuture(g *group, position time.Duration) bool {
-	latest := r.now + g.clock.proven
-	if g.clock.proven > 0 {
+// isAheadOfGroupClock reports whether a position is ahead of the group's clock, so that no host can have it.
+func (r *Router) isAheadOfGroupClock(g *group, position time.Duration) bool {
+	latest := r.now + g.clock.provenLead
+	if g.clock.provenLead > 0 {
 		latest += clockTolerance // the median report took a little longer to arrive than the fastest
 	}
 	return position > latest
@@ -61,12 +61,12 @@
 // but are never early. So a smaller lead counts only when the greater one was not confirmed for a while.
 func (c *groupClock) updateLead(now, lead time.Duration) {
 	switch {
-	case lead >= c.proven-clockTolerance:
-		c.proven, c.provenAt = max(c.proven, lead), now
-	case now-c.provenAt > leadRetention:
-		c.proven, c.provenAt = lead, now
+	case lead >= c.provenLead-clockTolerance:
+		c.provenLead, c.leadProvenAt = max(c.provenLead, lead), now
+	case now-c.leadProvenAt > leadRetention:
+		c.provenLead, c.leadProvenAt = lead, now
 	}
-	c.lead = c.proven
+	c.lead = c.provenLead
 }
 
 // zeroWithin returns d if it is greater than a tolerance, else 0.
@@ -80,5 +80,5 @@
 // uptime returns for how long a member has run: by its group's clock, but no less than the time since this
 // router was told of its start.
 func (r *Router) uptime(m *member) time.Duration {
-	return max(r.now-m.group.clock.lag-m.startedAt, r.now-m.startToldAt)
+	return max(r.now-m.group.clock.lag-m.startedAt, r.now-m.startLearnedAt)
 }
--- a/routing/groupclock_test.go
+++ b/routing/groupclock_test.go
@@ -18,7 +18,7 @@
 // not qualify, one that doesn't lag so far does, and the primary is still known as such by its own report.
 func TestPositionsAreComparedOnTheGroupClock(t *testing.T) {
 	for _, behind := range []time.Duration{0, 100 * ms, 2 * time.Second, time.Hour} {
-		g := startHarness(t, settings(), shard()...)
+		g := startHarness(t, settings(), testGroup()...)
 		for range clockReports {
 			g.reportAhead("p", Primary, behind, 0)
 		}
@@ -29,18 +29,18 @@
 			_, to := actionsOf(ActSend, actions)
 			require.NotEqual(t, "a", to, "%v behind", behind)
 		}
-		require.Equal(t, "p", g.c.groups[1].primary().host)
-		req := &request{group: g.c.groups[1], class: &g.c.classes[boundedRead]}
-		require.True(t, g.c.provesPosition(g.c.members["b"], req), "%v behind", behind)
-		require.False(t, g.c.provesPosition(g.c.members["a"], req), "%v behind", behind)
+		require.Equal(t, "p", g.router.groups[1].primary().host)
+		req := &request{group: g.router.groups[1], class: &g.router.classes[boundedRead]}
+		require.True(t, g.router.provesPosition(g.router.members["b"], req), "%v behind", behind)
+		require.False(t, g.router.provesPosition(g.router.members["a"], req), "%v behind", behind)
 	}
 }
 
 // A single garbled report makes reads stricter for a moment at most, and reports of replicas don't change the
 // clock.
 func TestSingleWrongReportDoesNotShiftTheClock(t *testing.T) {
-	g := startHarness(t, settings(), shard()...)
-	clock := &g.c.groups[1].clock
+	g := startHarness(t, settings(), testGroup()...)
+	clock := &g.router.groups[1].clock
 	for range clockReports {
 		g.reportAhead("p", Primary, 0, 0)
 	}
@@ -51,14 +51,14 @@
 		g.reportAhead("b", Primary, time.Hour, 0)
 	}
 	require.Zero(t, clock.lead, "only reports of the primary count")
-	require.Zero(t, g.c.members["a"].position)
-	require.Equal(t, "p", g.c.groups[1].primary().host)
+	require.Zero(t, g.router.members["a"].position)
+	require.Equal(t, "p", g.router.groups[1].primary().host)
 
-	g = startHarness(t, settings(), shard()...)
-	clock = &g.c.groups[1].clock
+	g = startHarness(t, settings(), testGroup()...)
+	clock = &g.router.groups[1].clock
 	g.reportAhead("p", Primary, time.Hour, 0)
 	require.Equal(t, time.Hour, clock.lead, "one report raises the lead at once")
-	require.Zero(t, clock.proven)
+	require.Zero(t, clock.provenLead)
 	for range 2 {
 		g.reportAhead("p", Primary, 0, 0)
 	}
@@ -67,7 +67,7 @@
 
 // A session token with a position ahead of the router's clock is not lowered to the router's present.
 func TestSessionTokenAheadOfTheClockIsNotLowered(t *testing.T) {
-	g := startHarness(t, settings(), shard()...)
+	g := startHarness(t, settings(), testGroup()...)
 	for range clockReports {
 		g.reportAhead("p", Primary, time.Minute, 0)
 	}
@@ -83,40 +83,40 @@
 // A router whose clock is ahead does not take a host that has just started for a warm one.
 func TestClockAheadDoesNotEndSlowStart(t *testing.T) {
 	for _, ahead := range []time.Duration{0, 2 * time.Second, 50 * time.Minute} {
-		g := startHarness(t, settings(), shard()...)
+		g := startHarness(t, settings(), testGroup()...)
 		for range clockReports {
 			g.reportAhead("p", Primary, -ahead, 0)
 		}
 		g.step(TargetsChanged{Targets: []Target{{Host: "a", Group: 1, StartedAt: g.now - ahead}}})
-		a := g.c.members["a"]
-		require.InDelta(t, settings().SlowStart.Floor*slowStartSafety, g.c.slowStartRatio(a), 0.01, "%v ahead: it has just started", ahead)
+		a := g.router.members["a"]
+		require.InDelta(t, settings().SlowStart.Floor*slowStartSafety, g.router.slowStartRatio(a), 0.01, "%v ahead: it has just started", ahead)
 		g.advance(5 * second)
-		half := g.c.slowStartRatio(a)
+		half := g.router.slowStartRatio(a)
 		require.Less(t, half, 1.0, "%v ahead", ahead)
 		require.Greater(t, half, 2*settings().SlowStart.Floor*slowStartSafety, "%v ahead", ahead)
 		g.advance(5 * second)
-		require.True(t, math.IsInf(g.c.slowStartRatio(a), 1), "%v ahead: it is warm", ahead)
+		require.True(t, math.IsInf(g.router.slowStartRatio(a), 1), "%v ahead: it is warm", ahead)
 	}
 }
 
 // Old reports of a primary can't make slow start last longer than its duration from when the list told of the
 // start.
 func TestOldReportsDoNotProlongSlowStart(t *testing.T) {
-	g := startHarness(t, settings(), shard()...)
+	g := startHarness(t, settings(), testGroup()...)
 	g.step(TargetsChanged{Targets: []Target{{Host: "a", Group: 1, StartedAt: g.now}}})
 	for range clockReports {
 		g.reportAhead("p", Primary, -time.Minute, 0)
 	}
 	g.advance(settings().SlowStart.Duration)
-	require.True(t, math.IsInf(g.c.slowStartRatio(g.c.members["a"]), 1))
+	require.True(t, math.IsInf(g.router.slowStartRatio(g.router.members["a"]), 1))
 }
 
 // Reports that arrive late, as from a busy machine, make the group's clock look less far ahead. Reads must
 // not get older data because of that.
 func TestLateReportsDoNotLowerTheLead(t *testing.T) {
 	const behind, late = 300 * ms, 60 * ms
-	g := startHarness(t, settings(), shard()...)
-	clock := &g.c.groups[1].clock
+	g := startHarness(t, settings(), testGroup()...)
+	clock := &g.router.groups[1].clock
 	for range clockReports {
 		g.reportAhead("p", Primary, behind, 0)
 	}
@@ -124,8 +124,8 @@
 		g.reportAhead("p", Primary, behind-late, 0)
 	}
 	g.reportAhead("a", Replica, behind, 320*ms) // the class permits 300
-	req := &request{group: g.c.groups[1], class: &g.c.classes[boundedRead]}
-	require.False(t, g.c.provesPosition(g.c.members["a"], req))
+	req := &request{group: g.router.groups[1], class: &g.router.classes[boundedRead]}
+	require.False(t, g.router.provesPosition(g.router.members["a"], req))
 	require.Equal(t, behind, clock.lead)
 	for range clockReports { // these arrive in time again and confirm the lead
 		g.reportAhead("p", Primary, behind, 0)
--- a/routing/harness_test.go
+++ b/routing/harness_test.go
@@ -41,10 +41,10 @@
 
 // harness drives one Router, event by event.
 type harness struct {
-	t   testing.TB
-	c   *Router
-	now time.Duration
-	ids int
+	t      testing.TB
+	router *Router
+	now    time.Duration
+	ids    int
 }
 
 func startHarness(t testing.TB, s Settings, hosts ...Target) *harness {
@@ -53,13 +53,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &harness{t: t, c: c, now: startTime}
+	g := &harness{t: t, router: c, now: startTime}
 	g.step(TargetsChanged{Full: true, Targets: hosts})
 	return g
 }
 
-// shard returns an endpoint list of one group: the primary p and the replicas a, b and c.
-func shard() []Target {
+// testGroup returns an endpoint list of one group: the primary p and the replicas a, b and c.
+func testGroup() []Target {
 	return []Target{{Host: "p", Group: 1, Primary: true}, {Host: "a", Group: 1}, {Host: "b", Group: 1}, {Host: "c", Group: 1}}
 }
 
@@ -89,7 +89,7 @@
 
 func (g *harness) step(events ...Event) []Action {
 	events = proven(events)
-	return append([]Action(nil), g.c.Step(g.now, events)...)
+	return append([]Action(nil), g.router.Step(g.now, events)...)
 }
 
 func (g *harness) advance(d time.Duration) []Action {
@@ -110,7 +110,7 @@
 	g.ids++
 	e.ID, e.Class, e.Group = fmt.Sprint("r", g.ids), class, 1
 	if e.TimeRemaining == 0 {
-		e.TimeRemaining = g.c.cfg.Classes[class].Deadline
+		e.TimeRemaining = g.router.cfg.Classes[class].Deadline
 	}
 	return e.ID, g.step(e)
 }
--- a/routing/members.go
+++ b/routing/members.go
@@ -14,7 +14,7 @@
 	listed, probePending bool          // listed: the endpoint list contains it
 	active               bool          // it may get new work, probes included: it is not draining
 	startedAt, removedAt time.Duration // when its process started; when it last stopped being active
-	startToldAt          time.Duration // when the router learned of startedAt
+	startLearnedAt       time.Duration // when the router learned of startedAt
 	budget               slowStartBudget
 	position, positionAt time.Duration // proven until an answer disproves it; when it was last confirmed
 	roleEvidence
@@ -124,8 +124,8 @@
 // setStart records the start time of a member's process, which was learned now. It never moves back.
 func (m *member) setStart(at, now time.Duration) {
 	if at > m.startedAt {
-		m.startedAt, m.startToldAt = at, now
-		m.budget = slowStartBudget{earnedAt: now}
+		m.startedAt, m.startLearnedAt = at, now
+		m.budget = slowStartBudget{refilledAt: now}
 	}
 }
 
@@ -177,7 +177,7 @@
 	if role == Primary && position > 0 {
 		r.observeClock(m, position)
 	}
-	if r.isFromTheFuture(m.group, position) {
+	if r.isAheadOfGroupClock(m.group, position) {
 		return // no host is ahead of its group's clock: the report is garbled
 	}
 	at = min(at, r.now)
@@ -196,7 +196,7 @@
 	at := r.now
 	if e.Role == Primary {
 		at -= e.Elapsed
-		lead := m.group.clock.proven
+		lead := m.group.clock.provenLead
 		if e.Position < r.now+lead+positionMargin { // a commit's position is rounded up
 			at = max(at, min(e.Position-lead, r.now))
 		}
@@ -207,7 +207,7 @@
 // recordReport records a load report, which may be old. Its position tells when it was made, except for a
 // replica, whose position may stand still for long.
 func (r *Router) recordReport(m *member, report Report) {
-	at := report.Position - m.group.clock.proven
+	at := report.Position - m.group.clock.provenLead
 	if at <= 0 || report.Role == Replica {
 		at = max(at, r.now-retryBackoff) // no usable time: count it as older than any report
 	}
--- a/routing/members_test.go
+++ b/routing/members_test.go
@@ -7,7 +7,7 @@
 
 // An old report must not undo what an answer has shown since.
 func TestOldReportDoesNotDemote(t *testing.T) {
-	g := startHarness(t, settings(), shard()...)
+	g := startHarness(t, settings(), testGroup()...)
 	g.now += time.Second
 	id, _ := g.request(atMostOnceWrite, RequestArrived{})
 	g.outcome(id, 0, OK, Primary)
@@ -21,9 +21,9 @@
 	for _, event := range []Event{
 		TargetsChanged{Targets: []Target{{Host: "a", Group: 1, Draining: true}}},
 		TargetsChanged{Targets: []Target{{Host: "a", Group: 1, Removed: true}}},
-		TargetsChanged{Full: true, Targets: append(shard()[:1:1], shard()[2:]...)},
+		TargetsChanged{Full: true, Targets: append(testGroup()[:1:1], testGroup()[2:]...)},
 	} {
-		g := startHarness(t, settings(), shard()...)
+		g := startHarness(t, settings(), testGroup()...)
 		g.step(event)
 		for range 20 {
 			_, actions := g.request(eventualRead, RequestArrived{})
@@ -38,8 +38,8 @@
 func TestRemovedHostStaysInUseWhereRemovalIsIgnored(t *testing.T) {
 	s := settings()
 	s.IgnoresRemoval = true
-	g := startHarness(t, s, shard()[:2]...)
-	g.step(TargetsChanged{Full: true, Targets: shard()[:1]})
+	g := startHarness(t, s, testGroup()[:2]...)
+	g.step(TargetsChanged{Full: true, Targets: testGroup()[:1]})
 	g.step(TargetsChanged{Targets: []Target{{Host: "a", Group: 1, Removed: true}}})
 	if _, actions := g.request(eventualRead, RequestArrived{}); actions[0].Host != "a" {
 		t.Errorf("a read led to %v", actions)
@@ -53,25 +53,25 @@
 // A removed member is forgotten after a while, together with its group if that is empty. A host may come back, move to
 // another group or start again.
 func TestEndpointListChanges(t *testing.T) {
-	g := startHarness(t, settings(), shard()...)
-	gone := shard()
+	g := startHarness(t, settings(), testGroup()...)
+	gone := testGroup()
 	for i := range gone {
 		gone[i].Removed = true
 	}
 	g.step(TargetsChanged{Targets: gone})
-	g.step(TargetsChanged{Targets: shard()}) // back at once: the members are kept
-	if len(g.c.members) != 4 || g.c.groups[1].primary() != nil {
-		t.Errorf("%d members, primary %v: a drained primary must not count until there is new evidence", len(g.c.members), g.c.groups[1].primary())
+	g.step(TargetsChanged{Targets: testGroup()}) // back at once: the members are kept
+	if len(g.router.members) != 4 || g.router.groups[1].primary() != nil {
+		t.Errorf("%d members, primary %v: a drained primary must not count until there is new evidence", len(g.router.members), g.router.groups[1].primary())
 	}
 	g.step(TargetsChanged{Targets: gone})
 	g.now += memberRetention + time.Second
 	g.step(TargetsChanged{Targets: []Target{{Host: "x", Group: 2, StartedAt: g.now + time.Hour}}})
-	if len(g.c.members) != 1 || len(g.c.groups) != 1 {
-		t.Errorf("%d members in %d groups are left", len(g.c.members), len(g.c.groups))
+	if len(g.router.members) != 1 || len(g.router.groups) != 1 {
+		t.Errorf("%d members in %d groups are left", len(g.router.members), len(g.router.groups))
 	}
-	x := g.c.members["x"]
-	if x.startedAt > g.now || g.c.slowStartRatio(x) >= 1 {
-		t.Errorf("a start in the future: %v, slow-start ratio %v", x.startedAt-g.now, g.c.slowStartRatio(x))
+	x := g.router.members["x"]
+	if x.startedAt > g.now || g.router.slowStartRatio(x) >= 1 {
+		t.Errorf("a start in the future: %v, slow-start ratio %v", x.startedAt-g.now, g.router.slowStartRatio(x))
 	}
 	was := x.startedAt
 	g.now += time.Second
@@ -81,7 +81,7 @@
 	}
 	g.step(TargetsChanged{Targets: []Target{{Host: "x", Group: 3}}})
 	actions := g.step(RequestArrived{ID: "q", Class: eventualRead, Group: 2, TimeRemaining: time.Second})
-	if found, _ := actionsOf(ActSend, actions); len(found) != 0 || g.c.groups[2] != nil {
+	if found, _ := actionsOf(ActSend, actions); len(found) != 0 || g.router.groups[2] != nil {
 		t.Errorf("after x went to group 3, group 2 led to %v", actions)
 	}
 	actions = g.step(RequestArrived{ID: "s", Class: eventualRead, Group: 3, TimeRemaining: time.Second})
--- a/routing/outliers_test.go
+++ b/routing/outliers_test.go
@@ -7,7 +7,7 @@
 
 // A member that fails fast has few requests in flight. The power of two choices must not prefer it for that.
 func TestFastErrorsAreNotIdleness(t *testing.T) {
-	g := startHarness(t, settings(), shard()...)
+	g := startHarness(t, settings(), testGroup()...)
 	late := 0
 	for i := range 200 {
 		g.now += 20 * ms
@@ -34,7 +34,7 @@
 
 // A member that takes work and answers nothing is left alone while others answer.
 func TestSilentMember(t *testing.T) {
-	g := startHarness(t, settings(), shard()...)
+	g := startHarness(t, settings(), testGroup()...)
 	late := 0
 	for i := range 200 {
 		g.now += 20 * ms
@@ -54,7 +54,7 @@
 // Guards against ejecting a replica for seconds because of single malformed answers, which any host may give, and
 // against taking a malformed answer for proof that nothing ran.
 func TestOneMalformedAnswerEjectsNoHost(t *testing.T) {
-	g := startHarness(t, settings(), shard()...)
+	g := startHarness(t, settings(), testGroup()...)
 	for range 4 {
 		g.now += 4 * time.Second // so long after the last score that the next has the most weight
 		g.reportPositions(Replica, 10*ms, "a", "b", "c")
@@ -71,8 +71,8 @@
 			t.Errorf("a read that got a malformed answer is not retried elsewhere: %v", actions)
 		}
 		g.outcome(id, 1, OK, Unknown)
-		if m := g.c.members[host]; !g.c.isHealthy(m) {
-			t.Errorf("%s is ejected at a score of %.2f", host, g.c.outlierScore(m))
+		if m := g.router.members[host]; !g.router.isHealthy(m) {
+			t.Errorf("%s is ejected at a score of %.2f", host, g.router.outlierScore(m))
 		}
 	}
 	id, actions := g.request(atMostOnceWrite, RequestArrived{})
@@ -88,19 +88,19 @@
 // A costly request may get no answer at any host, and at a slow one often. A single one must not eject the host for
 // seconds while requests queue for others. Three in a row do.
 func TestOneLostAnswerEjectsNoHost(t *testing.T) {
-	g := startHarness(t, settings(), shard()[:2]...)
+	g := startHarness(t, settings(), testGroup()[:2]...)
 	g.reportPositions(Primary, 0, "p")
-	a := g.c.members["a"]
+	a := g.router.members["a"]
 	for lost := 1; lost <= 3; lost++ {
 		g.reportPositions(Replica, 10*ms, "a")
 		id, actions := g.request(boundedRead, RequestArrived{})
 		if _, host := actionsOf(ActSend, actions); host != "a" {
-			t.Fatalf("after %d lost answers a read went to %q: score %.2f", lost-1, host, g.c.outlierScore(a))
+			t.Fatalf("after %d lost answers a read went to %q: score %.2f", lost-1, host, g.router.outlierScore(a))
 		}
 		g.now += 585 * ms
 		g.step(AttemptEnded{ID: id, Code: NoAnswer, Final: true, Elapsed: 585 * ms})
-		if want := lost < 3; g.c.isHealthy(a) != want {
-			t.Errorf("healthy after %d lost answers: %v, score %.2f", lost, !want, g.c.outlierScore(a))
+		if want := lost < 3; g.router.isHealthy(a) != want {
+			t.Errorf("healthy after %d lost answers: %v, score %.2f", lost, !want, g.router.outlierScore(a))
 		}
 	}
 }
@@ -108,7 +108,7 @@
 // Guards against a replica that counts as silent although all it has in flight is a long query: it answers other requests
 // as usual.
 func TestLongQueryDoesNotMakeAMemberSilent(t *testing.T) {
-	g := startHarness(t, settings(), shard()...)
+	g := startHarness(t, settings(), testGroup()...)
 	g.reportPositions(Replica, 10*ms, "a", "b", "c")
 	for range 30 {
 		id, _ := g.request(eventualRead, RequestArrived{})
@@ -118,17 +118,17 @@
 	}
 	_, actions := g.request(eventualRead, RequestArrived{})
 	_, host := actionsOf(ActSend, actions)
-	m := g.c.members[host]
-	if g.now += 3 * g.c.classes[eventualRead].latency; g.c.isSilent(m) {
-		t.Errorf("silent after %v, while such work takes %v", g.now-m.waitingSince, g.c.classes[eventualRead].latency)
+	m := g.router.members[host]
+	if g.now += 3 * g.router.classes[eventualRead].latency; g.router.isSilent(m) {
+		t.Errorf("silent after %v, while such work takes %v", g.now-m.waitingSince, g.router.classes[eventualRead].latency)
 	}
 	for m.inFlightByClass[sessionRead] == 0 {
 		g.request(sessionRead, RequestArrived{})
 	}
-	if !g.c.isSilent(m) {
+	if !g.router.isSilent(m) {
 		t.Error("with a short request in flight too, the member must count as silent")
 	}
-	if g.now += 2 * g.c.classes[eventualRead].latency; !g.c.isSilent(m) {
+	if g.now += 2 * g.router.classes[eventualRead].latency; !g.router.isSilent(m) {
 		t.Error("after so long, the member must count as silent even with a long query")
 	}
 }
@@ -163,7 +163,7 @@
 		calls = 0
 		s := settings()
 		s.RouterCount, s.ConnIdleTimeout = 300, 30*time.Second
-		hosts := append(shard(), Target{Host: "d", Group: 1})
+		hosts := append(testGroup(), Target{Host: "d", Group: 1})
 		g := startHarness(t, s, hosts...)
 		count, all, failing := map[string]int{}, 0, true
 		var execute func(actions []Action)
@@ -178,7 +178,7 @@
 					if bad {
 						code, role, elapsed = tc.faultyOutcome()
 					}
-					n := len(g.c.requests[a.ID].attempts) - 1
+					n := len(g.router.requests[a.ID].attempts) - 1
 					execute(g.step(AttemptEnded{ID: a.ID, Attempt: n, Code: code, Role: role, Final: code == OK, Elapsed: elapsed}))
 				case ActProbe:
 					e := ProbeEnded{Host: a.Host, Report: Report{Position: g.now - tc.lag, Role: Replica}}
--- a/routing/primary.go
+++ b/routing/primary.go
@@ -54,7 +54,7 @@
 		return false
 	}
 	a := &req.attempts[attempt]
-	return a.member.active && r.canRetry(req) && r.isEligible(a.member, req) && r.mayStillBeWritten(a, req)
+	return a.member.active && r.canRetry(req) && r.isEligible(a.member, req) && r.renewGrant(a, req)
 }
 
 // isEligible reports whether a member has the role or the position that a request needs.
--- a/routing/primary_test.go
+++ b/routing/primary_test.go
@@ -12,7 +12,7 @@
 func TestOneWriteSearchesForThePrimary(t *testing.T) {
 	s := settings()
 	s.ListNamesPrimary = false
-	g := startHarness(t, s, shard()...)
+	g := startHarness(t, s, testGroup()...)
 	_, actions := g.request(strongRead, RequestArrived{})
 	if sent, _ := actionsOf(ActSend, actions); len(sent) != 0 {
 		t.Fatalf("a strong read was sent with no primary known: %v", actions)
@@ -44,13 +44,13 @@
 // A primary that often fails is still the only member that can take writes, so it gets all of them and not just
 // occasional trials like other outliers.
 func TestOutlierPrimaryGetsWrites(t *testing.T) {
-	g := startHarness(t, settings(), shard()...)
+	g := startHarness(t, settings(), testGroup()...)
 	for range 10 {
 		g.now += 100 * ms
 		id, _ := g.request(atMostOnceWrite, RequestArrived{})
 		g.outcome(id, 0, ServerError, Primary)
 	}
-	if g.c.isHealthy(g.c.members["p"]) {
+	if g.router.isHealthy(g.router.members["p"]) {
 		t.Fatal("ten errors in a row do not make the primary an outlier")
 	}
 	_, actions := g.request(atMostOnceWrite, RequestArrived{})
@@ -63,34 +63,34 @@
 // long to find it by search. An entry may be old when it arrives, so it does not override evidence seen since.
 func TestTheListNamesANewPrimary(t *testing.T) {
 	named := []Target{{Host: "a", Group: 1, Primary: true}}
-	g := startHarness(t, settings(), shard()...)
+	g := startHarness(t, settings(), testGroup()...)
 	id, _ := g.request(atMostOnceWrite, RequestArrived{})
 	g.outcome(id, 0, OK, Primary)
 	g.now += 20 * second
 	g.step(TargetsChanged{Targets: []Target{{Host: "p", Group: 1, Primary: true, Draining: true}}})
-	require.Nil(t, g.c.groups[1].primary())
+	require.Nil(t, g.router.groups[1].primary())
 	g.step(TargetsChanged{Targets: named})
 	_, actions := g.request(atMostOnceWrite, RequestArrived{})
 	require.Equal(t, "a", actions[0].Host)
 
-	g = startHarness(t, settings(), shard()...)
+	g = startHarness(t, settings(), testGroup()...)
 	g.now += 20 * second
 	g.reportPositions(Replica, 0, "a")
 	g.now += maxListDelay - second
 	g.step(TargetsChanged{Targets: named})
-	require.Equal(t, "p", g.c.groups[1].primary().host, "a was seen as a replica since")
+	require.Equal(t, "p", g.router.groups[1].primary().host, "a was seen as a replica since")
 	g.now += 20 * second // an entry that named it before is no new evidence when it is sent again
 	g.reportPositions(Replica, 0, "a")
 	g.now += 20 * second
 	g.step(TargetsChanged{Targets: named})
-	require.Equal(t, "p", g.c.groups[1].primary().host)
+	require.Equal(t, "p", g.router.groups[1].primary().host)
 }
 
 // An entry of the endpoint list may be seconds old, and the host that it names may have lost the role again. A host
 // that has reported itself a replica is probed before a read relies on the entry; a write finds out by itself.
 func TestAReplicaNamedPrimaryIsProbedBeforeStrongReads(t *testing.T) {
 	for _, then := range []Role{Primary, Replica} {
-		g := startHarness(t, settings(), shard()...)
+		g := startHarness(t, settings(), testGroup()...)
 		g.reportPositions(Replica, 0, "a")
 		g.step(TargetsChanged{Targets: []Target{{Host: "p", Group: 1, Removed: true}}})
 		g.now += 20 * time.Second
@@ -110,7 +110,7 @@
 			require.Empty(t, sends)
 		}
 	}
-	g := startHarness(t, settings(), shard()...)
+	g := startHarness(t, settings(), testGroup()...)
 	g.reportPositions(Replica, 0, "a")
 	g.step(TargetsChanged{Targets: []Target{{Host: "p", Group: 1, Removed: true}}})
 	g.now += 20 * time.Second
@@ -125,9 +125,9 @@
 
 // A read is not written to a host that lost the primary role while the attempt waited for its connection.
 func TestRevalidateChecksTheRole(t *testing.T) {
-	g := startHarness(t, settings(), shard()...)
+	g := startHarness(t, settings(), testGroup()...)
 	ids := g.sentToPrimary(2)
-	require.True(t, g.c.Revalidate(g.now, ids[1], 0))
+	require.True(t, g.router.Revalidate(g.now, ids[1], 0))
 	g.answer(ids[0], OK, Replica, g.now-time.Second)
-	require.False(t, g.c.Revalidate(g.now, ids[1], 0))
+	require.False(t, g.router.Revalidate(g.now, ids[1], 0))
 }
--- a/routing/probes.go
+++ b/routing/probes.go
@@ -7,8 +7,8 @@
 //   - rankTooFarBehind: it is too far behind to have caught up since its position was confirmed.
 const rankKeepsPace, rankUnknown, rankLaggedBefore, rankTooFarBehind = 0, 1, 2, 3
 
-// paceOf ranks a member for a read. A member that catches up is taken to apply the log at twice real time.
-func (r *Router) paceOf(m *member, req *request) int {
+// probeRank ranks a member for a read. A member that catches up is taken to apply the log at twice real time.
+func (r *Router) probeRank(m *member, req *request) int {
 	elapsed, required := r.now-m.positionAt, r.requiredPosition(req)
 	switch {
 	case m.position == 0 && m.restoredLag > r.tightestBound:
@@ -24,7 +24,7 @@
 // awaitProbe lets a read for which no replica is known to qualify wait for the probe of one that may. It
 // reports whether the read waits.
 func (r *Router) awaitProbe(req *request, members []*member) bool {
-	if req.probed != nil && req.probed.probePending && r.now < req.probedAt+probeAnswerWait {
+	if req.lastProbed != nil && req.lastProbed.probePending && r.now < req.probedAt+probeAnswerWait {
 		return true
 	}
 	if !r.cfg.Probing.findsPosition() || r.cfg.StalenessCheck != CheckNone ||
@@ -33,8 +33,8 @@
 	}
 	var ranks [rankTooFarBehind + 1][]*member
 	for _, m := range members {
-		if m != req.probed && (m.probePending || r.now-m.probedAt >= reprobeAfter) {
-			rank := r.paceOf(m, req)
+		if m != req.lastProbed && (m.probePending || r.now-m.probedAt >= reprobeAfter) {
+			rank := r.probeRank(m, req)
 			ranks[rank] = append(ranks[rank], m)
 		}
 	}
@@ -51,7 +51,7 @@
 	if m == nil || !m.probePending && r.probeBudget < 1 && primary != nil && r.isHealthy(primary) {
 		return false
 	}
-	req.probeCount, req.probed, req.probedAt = req.probeCount+1, m, r.now
+	req.probeCount, req.lastProbed, req.probedAt = req.probeCount+1, m, r.now
 	r.probe(m)
 	return true
 }
--- a/routing/probes_test.go
+++ b/routing/probes_test.go
@@ -11,10 +11,10 @@
 func TestPositionsAreProbedThoughAllAreOutliers(t *testing.T) {
 	s := settings()
 	s.RouterCount = 300
-	g := startHarness(t, s, shard()...)
-	for _, m := range g.c.members {
-		g.c.recordScore(m, faultScore)
-		g.c.recordScore(m, faultScore)
+	g := startHarness(t, s, testGroup()...)
+	for _, m := range g.router.members {
+		g.router.recordScore(m, faultScore)
+		g.router.recordScore(m, faultScore)
 	}
 	_, actions := g.request(boundedRead, RequestArrived{})
 	found, host := actionsOf(ActProbe, actions)
@@ -32,19 +32,19 @@
 func TestReadsProbePastTheBudgetWithoutAPrimary(t *testing.T) {
 	s := settings()
 	s.RouterCount, s.Probing.Cost = 80, 0.04
-	g := startHarness(t, s, shard()...)
-	g.c.probeBudget = 0
+	g := startHarness(t, s, testGroup()...)
+	g.router.probeBudget = 0
 	_, actions := g.request(boundedRead, RequestArrived{})
 	require.Equal(t, ActSend, actions[0].Kind, "the primary serves the read")
 	g.step(TargetsChanged{Targets: []Target{{Host: "p", Group: 1, Draining: true}}})
-	g.c.probeBudget = 0
+	g.router.probeBudget = 0
 	id, actions := g.request(boundedRead, RequestArrived{})
 	require.Equal(t, ActProbe, actions[0].Kind)
 	actions = g.reportPositions(Primary, 0, actions[0].Host)
 	sends, host := actionsOf(ActSend, actions)
 	require.Len(t, sends, 1)
 	require.Equal(t, id, sends[0].ID)
-	require.Equal(t, g.c.groups[1].primary().host, host)
+	require.Equal(t, g.router.groups[1].primary().host, host)
 }
 
 // A replica that was seconds behind a moment ago is not probed, because it can't qualify: the probe goes to
@@ -54,7 +54,7 @@
 	s := settings()
 	s.RouterCount = 80
 	probed := func(g *harness) (hosts []string) {
-		g.c.probeBudget = 10
+		g.router.probeBudget = 10
 		_, actions := g.request(boundedRead, RequestArrived{})
 		for _, a := range actions {
 			if a.Kind == ActProbe {
@@ -63,20 +63,20 @@
 		}
 		return hosts
 	}
-	g := startHarness(t, s, shard()...)
+	g := startHarness(t, s, testGroup()...)
 	g.reportPositions(Replica, 5*second, "a", "b", "c")
 	g.now += second
 	require.Empty(t, probed(g), "all were 5 s behind a second ago")
 	g.now += 5 * second
 	require.Len(t, probed(g), 1, "at twice the pace they may have caught up")
 
-	g = startHarness(t, s, shard()...)
+	g = startHarness(t, s, testGroup()...)
 	asked := map[string]int{}
 	for range 200 {
 		g.now += 10 * second
 		g.reportPositions(Replica, 5*second, "a")
 		g.reportPositions(Replica, 0, "b")
-		g.c.members["c"].position = 0
+		g.router.members["c"].position = 0
 		g.now += second
 		for _, h := range probed(g) {
 			asked[h]++
@@ -85,7 +85,7 @@
 	require.Zero(t, asked["a"], "it was 5 s behind")
 	require.Greater(t, asked["b"], 160, "it kept pace")
 	require.Greater(t, asked["c"], 5, "its position is unknown: probed now and then, or it would stay unknown")
-	g = startHarness(t, s, shard()...)
+	g = startHarness(t, s, testGroup()...)
 	g.reportPositions(Replica, 5*second, "a", "b", "c")
 	g.step(TargetsChanged{Targets: []Target{{Host: "p", Group: 1, Draining: true}}})
 	g.now += second
@@ -96,10 +96,10 @@
 // the host failed raises it.
 func TestUnsentProbeIsNoEvidence(t *testing.T) {
 	for code, counts := range map[Code]bool{NotSent: false, NoConnection: true, NoAnswer: true, ServerError: true} {
-		g := startHarness(t, settings(), shard()...)
-		m := g.c.members["a"]
-		before := g.c.outlierScore(m)
+		g := startHarness(t, settings(), testGroup()...)
+		m := g.router.members["a"]
+		before := g.router.outlierScore(m)
 		g.step(ProbeEnded{Host: "a", Code: code})
-		require.Equal(t, counts, g.c.outlierScore(m) > before, "%v", code)
+		require.Equal(t, counts, g.router.outlierScore(m) > before, "%v", code)
 	}
 }
--- a/routing/queue_test.go
+++ b/routing/queue_test.go
@@ -9,7 +9,7 @@
 	s.Classes[atMostOnceWrite].PriorityWeight, s.Classes[strongRead].PriorityWeight = 5, 2
 	g := startHarness(t, s, Target{Host: "p", Group: 1, Primary: true})
 	g.reportPositions(Primary, 0, "p")
-	p := g.c.members["p"]
+	p := g.router.members["p"]
 	p.limit = 1
 	first, _ := g.request(atMostOnceWrite, RequestArrived{}) // it uses up the in-flight limit
 	late, _ := g.request(atMostOnceWrite, RequestArrived{})
@@ -47,7 +47,7 @@
 		s.WorstClassWeight = tc.weight
 		s.Classes[boundedRead].PriorityWeight, s.Classes[sessionRead].PriorityWeight, s.Classes[boundedRead].LateFraction = 1, 2, 1
 		g := startHarness(t, s, Target{Host: "p", Group: 1, Primary: true})
-		p := g.c.members["p"]
+		p := g.router.members["p"]
 		for i := range 20 {
 			id, _ := g.request([]int{boundedRead, sessionRead}[i%2], RequestArrived{})
 			g.now += 20 * ms
@@ -58,11 +58,11 @@
 				g.step(AttemptEnded{ID: id, Code: Cancelled, Final: true})
 			}
 		}
-		if got := g.c.classes[boundedRead].samples; got != initialSamples+10 {
+		if got := g.router.classes[boundedRead].samples; got != initialSamples+10 {
 			t.Errorf("%s: of ten first attempts %.0f were counted", tc.name, got-initialSamples)
 		}
 		p.limit = 1 // one read at a time, and both take the same work
-		g.c.classes[boundedRead].serviceTime, g.c.classes[sessionRead].serviceTime = 20*ms, 20*ms
+		g.router.classes[boundedRead].serviceTime, g.router.classes[sessionRead].serviceTime = 20*ms, 20*ms
 		first, _ := g.request(sessionRead, RequestArrived{})
 		cheap, _ := g.request(boundedRead, RequestArrived{IsRetry: tc.isRetry})
 		dear, _ := g.request(sessionRead, RequestArrived{})
--- a/routing/replica_test.go
+++ b/routing/replica_test.go
@@ -9,7 +9,7 @@
 
 // The power of two choices prefers the replica with fewer of this router's requests in flight.
 func TestPowerOfTwoChoicesPrefersLessBusy(t *testing.T) {
-	g := startHarness(t, settings(), shard()[:3]...)
+	g := startHarness(t, settings(), testGroup()[:3]...)
 	count := map[string]int{}
 	for range 2 * initialLimit {
 		_, actions := g.request(eventualRead, RequestArrived{})
@@ -23,7 +23,7 @@
 
 // Queued requests must not be sent to a member that refuses connections while the healthy ones are at capacity.
 func TestQueuedReadsAvoidOutliers(t *testing.T) {
-	g := startHarness(t, settings(), shard()[:3]...)
+	g := startHarness(t, settings(), testGroup()[:3]...)
 	for { // until a has refused a connection, and is an outlier
 		id, actions := g.request(eventualRead, RequestArrived{})
 		if _, host := actionsOf(ActSend, actions); host == "a" {
@@ -52,7 +52,7 @@
 	for _, checks := range []StalenessCheck{CheckRejects, CheckWaits} {
 		s := settings()
 		s.StalenessCheck = checks
-		g := startHarness(t, s, shard()...)
+		g := startHarness(t, s, testGroup()...)
 		id, actions := g.request(boundedRead, RequestArrived{})
 		if _, host := actionsOf(ActSend, actions); host == "p" || host == "" {
 			t.Errorf("checks %d: a read with no position known led to %v", checks, actions)
@@ -66,7 +66,7 @@
 // Guards against long queries that stop log replay on every replica. They go to the replica that is furthest behind, so
 // that the others catch up, and to all replicas while none lags.
 func TestEventualReadsSpareCurrentReplicas(t *testing.T) {
-	g := startHarness(t, settings(), shard()...)
+	g := startHarness(t, settings(), testGroup()...)
 	went := func() map[string]int {
 		hosts := map[string]int{}
 		for range 40 {
@@ -99,11 +99,11 @@
 // Guards against rejecting reads while the primary has capacity. Reads may take most of its limit, but not all.
 func TestReadsMayTakeMostOfThePrimary(t *testing.T) {
 	g := startHarness(t, settings(), Target{Host: "p", Group: 1, Primary: true})
-	g.c.members["p"].limit = 20
+	g.router.members["p"].limit = 20
 	for range 30 {
 		g.request(sessionRead, RequestArrived{CommitAge: ms})
 	}
-	if n := g.c.members["p"].inFlight; n != 18 {
+	if n := g.router.members["p"].inFlight; n != 18 {
 		t.Errorf("%d reads are in flight at the primary, want 18 of 20", n)
 	}
 	if _, actions := g.request(atMostOnceWrite, RequestArrived{}); len(actions) == 0 || actions[0].Kind != ActSend {
@@ -116,7 +116,7 @@
 func TestReadsGoToAnOutlierPrimaryWhereNobodyElseCanServe(t *testing.T) {
 	s := settings()
 	s.RouterCount, s.Probing.Allowed = 80, false
-	g := startHarness(t, s, shard()...)
+	g := startHarness(t, s, testGroup()...)
 	id, _ := g.request(atMostOnceWrite, RequestArrived{})
 	g.outcome(id, 0, OK, Primary)
 	for range 4 {
@@ -124,14 +124,14 @@
 		id, _ = g.request(atMostOnceWrite, RequestArrived{})
 		g.outcome(id, 0, ServerError, Primary)
 	}
-	p := g.c.members["p"]
-	require.False(t, g.c.isHealthy(p))
+	p := g.router.members["p"]
+	require.False(t, g.router.isHealthy(p))
 	id, actions := g.request(boundedRead, RequestArrived{})
 	require.Equal(t, ActSend, actions[0].Kind)
 	require.Equal(t, "p", actions[0].Host)
 	g.now += 10 * second
 	_, actions = g.request(boundedRead, RequestArrived{})
-	require.True(t, g.c.isSilent(p))
+	require.True(t, g.router.isSilent(p))
 	for _, a := range actions {
 		require.NotEqual(t, ActSend, a.Kind, "a silent primary")
 	}
--- a/routing/router.go
+++ b/routing/router.go
@@ -74,7 +74,7 @@
 type class struct {
 	Class
 	index          int
-	part           int           // forReplicas or forPrimary
+	servingRole    int           // forReplicas or forPrimary
 	latency        time.Duration // smoothed, of answers
 	serviceTime    time.Duration // estimate of the time of an answer without queueing
 	offeredWeight  float64       // total weight of its requests except retries
@@ -118,7 +118,7 @@
 	for i, k := range s.Classes {
 		r.classes[i] = class{Class: k, index: i, inTimeFraction: 1, samples: initialSamples}
 		if k.Access >= StrongRead {
-			r.classes[i].part = forPrimary
+			r.classes[i].servingRole = forPrimary
 		}
 	}
 	return r, nil
--- a/routing/router_test.go
+++ b/routing/router_test.go
@@ -43,7 +43,7 @@
 		{"session read inside the margin", sessionRead, 100 * ms, 100 * ms, "primary"},
 		{"session without a write", sessionRead, 0, 0, "replica"},
 	} {
-		g := startHarness(t, settings(), shard()...)
+		g := startHarness(t, settings(), testGroup()...)
 		if tc.age > 0 {
 			g.reportPositions(Replica, tc.age, "a", "b", "c")
 		}
@@ -60,7 +60,7 @@
 
 // Valid events that refer to nothing known, or need no handling, lead to no action.
 func TestUnexpectedEventsChangeNothing(t *testing.T) {
-	g := startHarness(t, settings(), shard()...)
+	g := startHarness(t, settings(), testGroup()...)
 	id, _ := g.request(atMostOnceWrite, RequestArrived{})
 	g.outcome(id, 0, OK, Primary)
 	for _, e := range []Event{
@@ -78,8 +78,8 @@
 			t.Errorf("%+v led to %v", e, actions)
 		}
 	}
-	if len(g.c.requests) != 0 {
-		t.Errorf("%d requests are still held", len(g.c.requests))
+	if len(g.router.requests) != 0 {
+		t.Errorf("%d requests are still held", len(g.router.requests))
 	}
 	actions := g.step(RequestArrived{ID: "x", Group: 99, TimeRemaining: time.Second})
 	if found, _ := actionsOf(ActReject, actions); len(found) != 1 {
@@ -89,7 +89,7 @@
 
 // runScript turns the script into events, two bytes for each, and checks the invariants that FuzzStep lists.
 func runScript(t testing.TB, script []byte) []Action {
-	g := startHarness(t, settings(), shard()...)
+	g := startHarness(t, settings(), testGroup()...)
 	type state struct {
 		class            int
 		live             map[int]string
@@ -114,7 +114,7 @@
 				if drained[a.Host] {
 					t.Fatalf("%s: sent to %s, which is draining", a.ID, a.Host)
 				}
-				if m := g.c.members[a.Host]; r.class == boundedRead && m.primaryAt == 0 && m.position < g.now-300*ms {
+				if m := g.router.members[a.Host]; r.class == boundedRead && m.primaryAt == 0 && m.position < g.now-300*ms {
 					t.Fatalf("%s: a bounded read went to %s, whose position is not proven", a.ID, a.Host)
 				}
 				r.live[r.sent] = a.Host
@@ -160,10 +160,10 @@
 				}
 			}
 		case 6:
-			h := shard()[x%4]
+			h := testGroup()[x%4]
 			run(g.reportPositions(Role(x%3), time.Duration(x)*ms, h.Host))
 		case 7:
-			h := shard()[x%4]
+			h := testGroup()[x%4]
 			switch x / 4 % 8 { // entries change often: starts in the future or earlier than before, hosts that leave, change group or return
 			case 0, 1:
 				h.Draining = true
@@ -225,8 +225,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := &harness{t: t, c: c, now: startTime}
-	if asked, _ := actionsOf(ActSubscribe, g.step(TargetsChanged{Full: true, Targets: shard()})); len(asked) != 1 {
+	g := &harness{t: t, router: c, now: startTime}
+	if asked, _ := actionsOf(ActSubscribe, g.step(TargetsChanged{Full: true, Targets: testGroup()})); len(asked) != 1 {
 		t.Errorf("asked %d times at the start", len(asked))
 	}
 	g.step(TargetsFailed{})
@@ -237,21 +237,21 @@
 
 // Guards against new settings that remove the classes of requests in flight.
 func TestConfigure(t *testing.T) {
-	g := startHarness(t, settings(), shard()...)
+	g := startHarness(t, settings(), testGroup()...)
 	id, _ := g.request(atMostOnceWrite, RequestArrived{})
 	s := settings()
 	s.Classes[atMostOnceWrite].LatencyObjective, s.MaxRetryAfter = 300*ms, 70*ms
-	if err := g.c.Configure(s); err != nil {
+	if err := g.router.Configure(s); err != nil {
 		t.Fatal(err)
 	}
 	g.outcome(id, 0, OK, Primary)
 	g.ids++
 	actions := g.step(RequestArrived{ID: "odd", Class: atMostOnceWrite, Group: 9, TimeRemaining: time.Second})
-	if refused, _ := actionsOf(ActReject, actions); len(refused) != 1 || refused[0].RetryAfter != 70*ms || g.c.classes[atMostOnceWrite].LatencyObjective != 300*ms {
+	if refused, _ := actionsOf(ActReject, actions); len(refused) != 1 || refused[0].RetryAfter != 70*ms || g.router.classes[atMostOnceWrite].LatencyObjective != 300*ms {
 		t.Errorf("%v", actions)
 	}
 	s.Classes = s.Classes[1:]
-	if err := g.c.Configure(s); err == nil {
+	if err := g.router.Configure(s); err == nil {
 		t.Error("settings with other classes were accepted")
 	}
 }
--- a/routing/sessions.go
+++ b/routing/sessions.go
@@ -30,7 +30,7 @@
 func (r *Router) requiredPosition(req *request) time.Duration {
 	switch req.class.Access {
 	case BoundedRead:
-		return max(1, r.present(req.group)-req.class.StalenessBound+positionMargin)
+		return max(1, r.groupNow(req.group)-req.class.StalenessBound+positionMargin)
 	case StrongRead:
 		return req.arrivedAt + req.group.clock.lead
 	}
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -14,8 +14,8 @@
 // routers add up to what the member bears, however many requests arrive and whichever members leave.
 type slowStartBudget struct {
 	tokens      float64
-	earnedAt    time.Duration
-	recentDraws float64         // number of recent draws, decaying over askedSpan
+	refilledAt  time.Duration
+	recentDraws float64         // number of recent draws, decaying over demandSpan
 	heldBack    SlowStartCounts // requests that got no grant
 }
 
@@ -53,7 +53,8 @@
 
 // slowStartRate returns the refill rate of a warming member's budget, in requests a second of this router,
 // and its burst window: the budget holds at most what it earns in that time. The burst window is one
-// overload window, or the time to earn one token if that is longer, but at most keptWindows overload windows.
+// overload window, or the time to earn one token if that is longer,
+// but at most maxBurstWindows overload windows.
 //
 // With few requests the budget is often full between two of them, and what it would earn then is lost. The
 // refill rate is raised to make up for that: it is divided by the fraction of the tokens that is expected
@@ -62,12 +63,12 @@
 func (r *Router) slowStartRate(m *member) (perSecond float64, burstWindow time.Duration) {
 	allowedRate := r.slowStartRatio(m) * r.sustainableRate(m)
 	window := r.overloadWindow().Seconds()
-	burstSeconds := min(max(window, 1/max(allowedRate, minUsedFraction)), keptWindows*window)
+	burstSeconds := min(max(window, 1/max(allowedRate, minUsedFraction)), maxBurstWindows*window)
 	fraction := 1 - r.writeFraction
 	if m == m.group.primary() {
 		fraction = r.writeFraction
 	}
-	demandRate := max(m.group.history.requestsPerSecond()*fraction, m.budget.recentDraws/askedSpan.Seconds())
+	demandRate := max(m.group.history.requestsPerSecond()*fraction, m.budget.recentDraws/demandSpan.Seconds())
 	expectedRequests := demandRate * burstSeconds
 	usedFraction := max(1-math.Exp(-expectedRequests), minUsedFraction)
 	return allowedRate / usedFraction, time.Duration(burstSeconds * float64(time.Second))
@@ -76,12 +77,12 @@
 // refill adds to a member's budget what it earned since the last draw, up to the burst capacity, and counts
 // a new draw.
 func (r *Router) refill(m *member) {
-	elapsed := r.now - m.budget.earnedAt
-	m.budget.recentDraws = m.budget.recentDraws*math.Exp(-elapsed.Seconds()/askedSpan.Seconds()) + 1
+	elapsed := r.now - m.budget.refilledAt
+	m.budget.recentDraws = m.budget.recentDraws*math.Exp(-elapsed.Seconds()/demandSpan.Seconds()) + 1
 	perSecond, burstWindow := r.slowStartRate(m)
 	refilled := perSecond * elapsed.Seconds()
 	m.budget.tokens = min(m.budget.tokens+refilled, perSecond*burstWindow.Seconds())
-	m.budget.earnedAt = r.now
+	m.budget.refilledAt = r.now
 }
 
 // passesSlowStart reports whether a request may go to a member now. A warm member always passes, a warming
@@ -122,8 +123,8 @@
 	}
 }
 
-// settleGrants refunds the grants of a request by members other than the one that it is sent to.
-func (r *Router) settleGrants(req *request, sentTo *member) {
+// refundUnusedGrants refunds the grants of a request by members other than the one that it is sent to.
+func (r *Router) refundUnusedGrants(req *request, sentTo *member) {
 	for i := range req.grants {
 		if g := &req.grants[i]; g.granted && g.member != sentTo {
 			g.granted = false
@@ -187,13 +188,13 @@
 // start ratio is below 1 grants it.
 func (req *request) useUpSample() { req.redraw(1 + math.Mod(req.sample, 1)) }
 
-// mayStillBeWritten reports whether slow start permits an attempt that was chosen a while ago. If the member
+// renewGrant reports whether slow start permits an attempt that was chosen a while ago. If the member
 // has started again since, or the grant is too old, the request draws again with a new sample: otherwise
 // connections that take long to open could deliver the requests of all routers at the same time.
-func (r *Router) mayStillBeWritten(a *attempt, req *request) bool {
+func (r *Router) renewGrant(a *attempt, req *request) bool {
 	m := a.member
 	isRecent := r.now-a.grantedAt <= r.overloadWindow()/grantsPerWindow
-	if !r.isWarming(m) || a.startedAt == m.startedAt && isRecent {
+	if !r.isWarming(m) || a.memberStartedAt == m.startedAt && isRecent {
 		return true
 	}
 	req.redraw(r.rng.Float64())
@@ -201,6 +202,6 @@
 		return false
 	}
 	req.useUpSample()
-	a.startedAt, a.grantedAt = m.startedAt, r.now
+	a.memberStartedAt, a.grantedAt = m.startedAt, r.now
 	return true
 }
--- a/routing/slowstart_status.go
+++ b/routing/slowstart_status.go
@@ -81,7 +81,7 @@
 func (r *Router) slowStartStatus(m *member) SlowStartStatus {
 	perSecond, _ := r.slowStartRate(m)
 	return SlowStartStatus{
-		Host: m.host, Group: m.group.id, StartedAt: m.startedAt, NotifiedAt: m.startToldAt,
+		Host: m.host, Group: m.group.id, StartedAt: m.startedAt, NotifiedAt: m.startLearnedAt,
 		IsPrimary: m == m.group.primary(), Members: m.group.activeCount(),
 		Ratio: r.slowStartRatio(m), RatePerSecond: perSecond, HeldBack: m.budget.heldBack,
 	}
--- a/routing/slowstart_test.go
+++ b/routing/slowstart_test.go
@@ -12,7 +12,7 @@
 // chosen for a replica before the list told of its new start were written right after it, to a host that had
 // a fifth of its capacity.
 func TestWaitingAttemptsAreRevalidatedWhenTheirHostRestarts(t *testing.T) {
-	f := newFleet(t, 300, shard())
+	f := newFleet(t, 300, testGroup())
 	type chosen struct {
 		router *Router
 		id     string
--- a/routing/stale_test.go
+++ b/routing/stale_test.go
@@ -13,7 +13,7 @@
 func TestPositionThatWentBackIsNotTrusted(t *testing.T) {
 	s := settings()
 	s.Classes[sessionRead].Idempotency = AtMostOnce
-	g := startHarness(t, s, shard()...)
+	g := startHarness(t, s, testGroup()...)
 	g.reportPositions(Primary, 0, "p")
 	g.reportPositions(Replica, 10*ms, "a")
 	g.reportPositions(Replica, time.Minute, "b", "c")
--- a/routing/state_test.go
+++ b/routing/state_test.go
@@ -68,7 +68,7 @@
 	c.adjustLimit(b, limitIncrease)
 	require.Less(t, b.limit, 3.0, "a member that fails at its restored limit is not raised to it again")
 	bounded := &request{group: a.group, class: &class{Class: Class{Access: BoundedRead, StalenessBound: 100 * ms}}}
-	require.Less(t, c.paceOf(b, bounded), c.paceOf(a, bounded), "the member that lagged is not probed first")
+	require.Less(t, c.probeRank(b, bounded), c.probeRank(a, bounded), "the member that lagged is not probed first")
 	c.Step(now+6*second, []Event{TargetsChanged{Full: true, Targets: []Target{{Host: "p", Group: 1}, {Host: "a", Group: 1}, {Host: "b", Group: 1}}}})
 	require.NotEqual(t, 1.0, a.limit)
 }
--- a/testbed/cluster/simulate.go
+++ b/testbed/cluster/simulate.go
@@ -126,7 +126,7 @@
 	for i, name := range s.names {
 		cfg := consensus.Config{
 			Name: name, Voters: s.names[:s.voters], LeaseMillis: simLease, ClockDrift: simDrift, RenewIntervalMillis: simPace, ElectionTimeoutMillis: simElection, Format: 1,
-			Limits: consensus.Rules{"class.a.bound_ms": 100.0, "class.a.repeat": false, "tries": 1.0, "database.d.group": 0.0}, Seed: seed, Break: broken,
+			Limits: consensus.Rules{"class.a.bound_ms": 100.0, "class.a.repeat": false, "tries": 1.0, "database.d.group": 0.0}, Seed: seed, DisabledGuarantee: broken,
 		}
 		n := &simNode{cfg: cfg, offset: s.lots.Float64() * 1e6, rate: 1 + simDrift*(2*s.lots.Float64()-1)}
 		if i < s.voters {
--- a/testbed/soak/run.go
+++ b/testbed/soak/run.go
@@ -46,7 +46,7 @@
 
 // timingRules are the rules that a pooler breaks where the machine holds it up for longer than their graces.
 var timingRules = []string{
-	lifecycle.AttemptAfterDisconnect.String(), lifecycle.AttemptAfterCut.String(), lifecycle.AttemptToDraining.String(),
+	lifecycle.AttemptAfterDisconnect.String(), lifecycle.AttemptAfterTermination.String(), lifecycle.AttemptToDraining.String(),
 	lifecycle.DeadlineExceeded.String(), lifecycle.RetryOutsideWindow.String(), lifecycle.AnswerLate.String(),
 }
 
