--- a/internal/cluster/fencing/client.go
+++ b/internal/cluster/fencing/client.go
@@ -12,7 +12,7 @@
 const (
 	defaultConnectTimeout = 2 * time.Second
 	closeTimeout          = 200 * time.Millisecond
-	applicationName       = "ashstand works" // sent to hosts: it never changes
+	applicationName       = "ashstand works" // sent to database hosts and seen there by operators: it never changes
 )
 
 // Host is a database host as discovery lists it.
@@ -20,19 +20,21 @@
 	Name    string
 	Address string
 	Group   uint64
-	Primary bool // as listed, which may be out of date
+	Primary bool // as discovery lists it, which may be out of date
 	Zone    string
 }
 
-// HostLister returns the hosts of a group that may be asked now: listed, and not draining.
+// HostLister returns the hosts of a group that accept new connections: those that discovery lists and that are not
+// draining.
 type HostLister func(group uint64) []Host
 
-// Client connects to database hosts. Its fields are not changed once it is in use.
+// Client connects to database hosts. Its fields must not be changed once it is in use.
 type Client struct {
 	Hosts          HostLister
 	User           string
-	ConnectTimeout time.Duration // for one connection; 0: 2 s
-	// DisabledGuarantee is switched off to see that a checker notices: "fence"; "": none.
+	ConnectTimeout time.Duration // limit for opening one connection; 0: 2 s
+	// DisabledGuarantee names a guarantee that is switched off, to test that a checker detects the violation: "fence", or
+	// "" for none.
 	DisabledGuarantee string
 }
 
@@ -42,16 +44,16 @@
 	if err != nil {
 		return nil, err
 	}
-	number, err := strconv.ParseUint(port, 10, 16)
+	portNumber, err := strconv.ParseUint(port, 10, 16)
 	if err != nil {
 		return nil, err
 	}
-	// Whatever the environment sets is replaced below.
+	// ParseConfig also reads the PG* environment variables. The assignments below override what they set.
 	config, err := pgconn.ParseConfig("host=" + host + " sslmode=disable")
 	if err != nil {
 		return nil, err
 	}
-	config.Host, config.Port = host, uint16(number)
+	config.Host, config.Port = host, uint16(portNumber)
 	config.Database, config.User, config.Password = database, c.User, ""
 	config.TLSConfig, config.Fallbacks = nil, nil
 	config.ConnectTimeout = c.ConnectTimeout
@@ -62,15 +64,15 @@
 	return pgconn.ConnectConfig(ctx, config)
 }
 
-// Close ends a connection without waiting long for a silent host.
+// Close closes a connection. It waits at most 200 ms for a host that does not respond.
 func Close(conn *pgconn.PgConn) {
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
-	_ = conn.Close(ctx) // the server rolls back whatever was open
+	_ = conn.Close(ctx) // the host rolls back a transaction that is still open
 }
 
-// ConnectPrimary connects to the host of a group that takes writes: the listed primary first. The caller closes the connection
-// with Close. The error is a *NoPrimaryError.
+// ConnectPrimary connects to the host of a group that accepts writes. It tries the listed primary first, then the other
+// hosts. The caller closes the connection with Close. The error is a *NoPrimaryError.
 func (c *Client) ConnectPrimary(ctx context.Context, group uint64, database string) (*pgconn.PgConn, Host, error) {
 	failure := &NoPrimaryError{Group: group}
 	for _, host := range primariesFirst(c.Hosts(group)) {
--- a/internal/cluster/fencing/doc.go
+++ b/internal/cluster/fencing/doc.go
@@ -1,4 +1,4 @@
-// Package fencing acts on database hosts on behalf of jobs (package jobs): it connects to a group's primary, by SQL alone,
-// and puts each transaction behind the fence row of the job, which rejects a lease holder that has been replaced. It retries
-// nothing by itself.
+// Package fencing runs SQL transactions on database hosts on behalf of jobs (package jobs). It connects to a group's
+// primary, which it identifies by SQL alone. The first statement of each transaction raises the fencing token in the job's
+// fence row, so that the database rejects a lease holder that has been replaced. The package retries no transaction.
 package fencing
--- a/internal/cluster/fencing/errors.go
+++ b/internal/cluster/fencing/errors.go
@@ -5,16 +5,16 @@
 	"fmt"
 )
 
-// ErrReplica says that a host answered but is in recovery, and so takes no writes.
+// ErrReplica reports that a host answered but is in recovery, and therefore accepts no writes.
 var ErrReplica = errors.New("it is a replica")
 
-// ErrNoHosts says that discovery lists no host of a group.
+// ErrNoHosts reports that discovery lists no host of a group.
 var ErrNoHosts = errors.New("no host is listed")
 
-// NoPrimaryError is a group none of whose hosts takes writes.
+// NoPrimaryError reports that no host of a group accepts writes.
 type NoPrimaryError struct {
 	Group    uint64
-	Attempts []string // hosts, each with its error
+	Attempts []string // one per host tried: its name and error
 	Err      error    // of the last attempt
 }
 
@@ -29,12 +29,12 @@
 // Code returns the stable code that operators see.
 func (e *NoPrimaryError) Code() string { return "no_primary" }
 
-// Advice says what an operator can do.
+// Advice tells operators what they can do.
 func (e *NoPrimaryError) Advice() string {
 	return "ashstand hosts shows the group; if other poolers reach its primary, the job goes to another lease holder by itself"
 }
 
-// InDoubtError is an action whose connection broke: whether it was executed is unknown.
+// InDoubtError reports an action whose connection failed, so that it is unknown whether the action was executed.
 type InDoubtError struct {
 	Host   string
 	Action string
@@ -44,13 +44,13 @@
 // Error implements error.
 func (e *InDoubtError) Error() string { return e.Host + ": " + e.Action + ": " + e.Err.Error() }
 
-// Unwrap returns what broke the connection.
+// Unwrap returns the error of the connection.
 func (e *InDoubtError) Unwrap() error { return e.Err }
 
 // Code returns the stable code that operators see.
 func (e *InDoubtError) Code() string { return "in_doubt" }
 
-// Advice says what an operator can do.
+// Advice tells operators what they can do.
 func (e *InDoubtError) Advice() string {
 	return "nothing: the lease holder finds out whether it was executed before it goes on; if that lasts, look at the link to the host"
 }
--- a/internal/cluster/fencing/fence.go
+++ b/internal/cluster/fencing/fence.go
@@ -9,22 +9,22 @@
 	"ashstand/internal/cluster/jobs"
 )
 
-// CreateFenceTable creates the table of fence rows where it is missing, in the schema ashstand. A row holds the highest token
-// that the database has seen for a job.
+// CreateFenceTable creates the table of fence rows in the schema ashstand unless it exists. Each row holds the highest
+// fencing token that the database has seen for one job.
 const CreateFenceTable = "CREATE TABLE IF NOT EXISTS ashstand.fence (work text PRIMARY KEY, token bigint NOT NULL DEFAULT 0, closed boolean NOT NULL DEFAULT false, home bigint NOT NULL DEFAULT 0)"
 
 // Statements on a job's fence row.
 const (
 	raiseFence         = "UPDATE ashstand.fence SET token = $2 WHERE work = $1 AND token <= $2"
-	overwriteFence     = "UPDATE ashstand.fence SET token = $2 WHERE work = $1" // only to see that a checker notices
+	overwriteFence     = "UPDATE ashstand.fence SET token = $2 WHERE work = $1" // only to test that a checker detects the violation
 	selectFenceToken   = "SELECT token FROM ashstand.fence WHERE work = $1"
 	insertFence        = "INSERT INTO ashstand.fence (work, token) VALUES ($1, $2) ON CONFLICT DO NOTHING"
-	raiseFenceAttempts = 2 // the second one finds the row that the first has inserted, or that somebody else has
+	raiseFenceAttempts = 2 // the second attempt updates the row that the first one or a concurrent process inserted
 )
 
-// RaiseFence makes a job's fence row hold a token, inside a transaction or by itself. A row with a higher one is a
-// *jobs.FencedError. The row is locked until the transaction ends: a transaction of an earlier lease holder either was
-// committed before, or finds the higher token.
+// RaiseFence raises the token in a job's fence row, inside a transaction or outside one. If the row holds a higher token it
+// returns a *jobs.FencedError. The row stays locked until the transaction ends: a transaction of an earlier lease holder
+// either was committed before, or finds the higher token.
 func (c *Client) RaiseFence(ctx context.Context, conn *pgconn.PgConn, target, job string, token jobs.FencingToken) error {
 	presented := strconv.FormatUint(uint64(token), 10)
 	raise := raiseFence
--- a/internal/cluster/fencing/golden_test.go
+++ b/internal/cluster/fencing/golden_test.go
@@ -37,27 +37,28 @@
 	require.Equal(t, string(want), got)
 }
 
-// reply is what a recorder answers a statement with.
+// reply is the answer of a recorder to one statement.
 type reply struct {
 	rows [][]byte
 	tag  string
-	code string // of an error
+	code string // SQLSTATE of an error response; "": no error
 }
 
-// recorder is a db host that writes down all that it is sent.
+// recorder is a fake database host that records every message that it receives.
 type recorder struct {
-	mu      sync.Mutex
-	lines   []string
-	replies map[string][]reply // by the first words of a statement, in order; the last one stays
+	mu    sync.Mutex
+	lines []string
+	// replies are given in order, by prefix of the statement. The last one is repeated.
+	replies map[string][]reply
 }
 
-func (r *recorder) note(format string, args ...any) {
+func (r *recorder) record(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lines = append(r.lines, fmt.Sprintf(format, args...))
 }
 
-func (r *recorder) next(sql string) reply {
+func (r *recorder) nextReply(sql string) reply {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for prefix, list := range r.replies {
@@ -91,29 +92,29 @@
 
 func (r *recorder) serve(conn net.Conn) {
 	b := pgproto3.NewBackend(conn, conn)
-	first, err := b.ReceiveStartupMessage()
-	start, ok := first.(*pgproto3.StartupMessage)
+	startup, err := b.ReceiveStartupMessage()
+	start, ok := startup.(*pgproto3.StartupMessage)
 	if err != nil || !ok {
 		return
 	}
-	var of []string
+	var parameters []string
 	for _, k := range slices.Sorted(maps.Keys(start.Parameters)) {
-		of = append(of, k+"="+start.Parameters[k])
+		parameters = append(parameters, k+"="+start.Parameters[k])
 	}
-	r.note("startup %s", strings.Join(of, " "))
+	r.record("startup %s", strings.Join(parameters, " "))
 	b.Send(&pgproto3.AuthenticationOk{})
 	status := byte('I')
 	b.Send(&pgproto3.ReadyForQuery{TxStatus: status})
-	answer := func(sql string) {
-		a := r.next(sql)
-		if a.code != "" {
-			b.Send(&pgproto3.ErrorResponse{Severity: "ERROR", Code: a.code, Message: "as the test has it"})
+	sendReply := func(sql string) {
+		response := r.nextReply(sql)
+		if response.code != "" {
+			b.Send(&pgproto3.ErrorResponse{Severity: "ERROR", Code: response.code, Message: "as the test has it"})
 			return
 		}
-		for _, v := range a.rows {
+		for _, v := range response.rows {
 			b.Send(&pgproto3.DataRow{Values: [][]byte{v}})
 		}
-		b.Send(&pgproto3.CommandComplete{CommandTag: []byte(a.tag)})
+		b.Send(&pgproto3.CommandComplete{CommandTag: []byte(response.tag)})
 	}
 	var sql string
 	var args []string
@@ -124,9 +125,9 @@
 		}
 		switch m := m.(type) {
 		case *pgproto3.Query:
-			r.note("simple %s", m.String)
+			r.record("simple %s", m.String)
 			for _, s := range strings.Split(m.String, "; ") {
-				answer(s)
+				sendReply(s)
 			}
 			b.Send(&pgproto3.ReadyForQuery{TxStatus: status})
 		case *pgproto3.Parse:
@@ -141,8 +142,8 @@
 		case *pgproto3.Describe:
 			b.Send(&pgproto3.RowDescription{Fields: []pgproto3.FieldDescription{{Name: []byte("v"), DataTypeOID: 25, DataTypeSize: -1, TypeModifier: -1}}})
 		case *pgproto3.Execute:
-			r.note("extended %s %q", sql, args)
-			answer(sql)
+			r.record("extended %s %q", sql, args)
+			sendReply(sql)
 		case *pgproto3.Sync:
 			b.Send(&pgproto3.ReadyForQuery{TxStatus: status})
 		case *pgproto3.Terminate:
@@ -157,19 +158,19 @@
 	return strings.Join(r.lines, "\n") + "\n"
 }
 
-// What is sent to a db host, statement by statement: a fence row that is there, one that is not yet, one that holds a
-// higher token, and a transaction that is taken back.
+// The statements sent to a database host stay the same: for a fence row that exists, one that does not exist yet, one that
+// holds a higher token, and a transaction that is rolled back.
 func TestGoldenStatements(t *testing.T) {
 	text := CreateFenceTable + "\n"
 	primary := map[string][]reply{"SELECT pg_is_in_recovery()": {{rows: [][]byte{[]byte("f")}, tag: "SELECT 1"}}}
 	for _, c := range []struct {
-		name    string
-		replies map[string][]reply
-		bounds  Timeouts
-		unsafe  string
-		do      error
-		want    error
-		replica bool
+		name              string
+		replies           map[string][]reply
+		timeouts          Timeouts
+		disabledGuarantee string
+		transactionErr    error
+		want              error
+		replica           bool
 	}{
 		{name: "row there", replies: map[string][]reply{"UPDATE": {{tag: "UPDATE 1"}}}},
 		{name: "row not there", replies: map[string][]reply{"UPDATE": {{tag: "UPDATE 0"}, {tag: "UPDATE 1"}}, "SELECT token": {{tag: "SELECT 0"}}, "INSERT": {{tag: "INSERT 0 1"}}}},
@@ -179,19 +180,19 @@
 		},
 		{
 			name: "bounds", replies: map[string][]reply{"UPDATE": {{tag: "UPDATE 1"}}},
-			bounds: Timeouts{Lock: 1500 * time.Microsecond, Statement: 2 * time.Second, IdleInTransaction: 3 * time.Second},
+			timeouts: Timeouts{Lock: 1500 * time.Microsecond, Statement: 2 * time.Second, IdleInTransaction: 3 * time.Second},
 		},
-		{name: "without the fence", replies: map[string][]reply{"UPDATE": {{tag: "UPDATE 1"}}}, unsafe: "fence"},
-		{name: "taken back", replies: map[string][]reply{"UPDATE": {{tag: "UPDATE 1"}}}, do: &pgconn.PgError{Code: "23505"}, want: &pgconn.PgError{Code: "23505"}},
+		{name: "without the fence", replies: map[string][]reply{"UPDATE": {{tag: "UPDATE 1"}}}, disabledGuarantee: "fence"},
+		{name: "taken back", replies: map[string][]reply{"UPDATE": {{tag: "UPDATE 1"}}}, transactionErr: &pgconn.PgError{Code: "23505"}, want: &pgconn.PgError{Code: "23505"}},
 		{name: "replica", replies: map[string][]reply{"SELECT pg_is_in_recovery()": {{rows: [][]byte{[]byte("t")}, tag: "SELECT 1"}}}, replica: true},
 	} {
 		r := &recorder{replies: maps.Clone(primary)}
 		maps.Copy(r.replies, c.replies)
 		address := r.listen(t)
-		client := &Client{User: "ashstand", DisabledGuarantee: c.unsafe, Hosts: func(uint64) []Host { return []Host{{Name: "h1", Address: address, Group: 3, Primary: true}} }}
-		err := client.TransactWithin(t.Context(), c.bounds, 3, "orders", "d1", 17, "write", func(ctx context.Context, conn *pgconn.PgConn) error {
-			if c.do != nil {
-				return c.do
+		client := &Client{User: "ashstand", DisabledGuarantee: c.disabledGuarantee, Hosts: func(uint64) []Host { return []Host{{Name: "h1", Address: address, Group: 3, Primary: true}} }}
+		err := client.TransactWithin(t.Context(), c.timeouts, 3, "orders", "d1", 17, "write", func(ctx context.Context, conn *pgconn.PgConn) error {
+			if c.transactionErr != nil {
+				return c.transactionErr
 			}
 			_, _, err := Exec(ctx, conn, "INSERT INTO t VALUES ($1)", "x")
 			return err
@@ -211,7 +212,7 @@
 	requireGolden(t, "statements.txt", text)
 }
 
-// The fence's table and row at a db host, once tokens have been taken.
+// The contents of the fence row on a database host after several tokens were presented, one of them stale.
 func TestGoldenFenceRow(t *testing.T) {
 	c := host.NewCluster(1, 1)
 	t.Cleanup(c.Close)
@@ -227,7 +228,7 @@
 		require.NoError(t, err)
 	}
 	var out bytes.Buffer
-	take := func(token jobs.FencingToken) {
+	presentToken := func(token jobs.FencingToken) {
 		err := client.Transact(t.Context(), 1, "orders", "d1", token, "write", func(context.Context, *pgconn.PgConn) error { return nil })
 		var fenced *jobs.FencedError
 		if errors.As(err, &fenced) {
@@ -243,7 +244,7 @@
 		}
 	}
 	for _, token := range []jobs.FencingToken{3, 3, 7, 5} {
-		take(token)
+		presentToken(token)
 	}
 	requireGolden(t, "fence-row.txt", out.String())
 }
--- a/internal/cluster/fencing/query.go
+++ b/internal/cluster/fencing/query.go
@@ -25,7 +25,7 @@
 	return rows, tag.RowsAffected(), err
 }
 
-// QueryValue returns the first value of a statement's first row; "" where there is no row, or NULL.
+// QueryValue returns the first value of a statement's first row, or "" if there is no row or the value is NULL.
 func QueryValue(ctx context.Context, conn *pgconn.PgConn, sql string, args ...string) (string, error) {
 	rows, _, err := Exec(ctx, conn, sql, args...)
 	if err != nil || len(rows) == 0 || len(rows[0]) == 0 {
@@ -34,8 +34,8 @@
 	return rows[0][0], nil
 }
 
-// ServerError returns the error that the host itself reported, if it is in err's chain. Then the statement was not executed,
-// or was rolled back; after any other error that is unknown.
+// ServerError returns the error that the database host itself reported, if err's chain contains one. In that case the
+// statement was not executed or was rolled back. After any other error it is unknown whether it was executed.
 func ServerError(err error) (*pgconn.PgError, bool) {
 	var reported *pgconn.PgError
 	ok := errors.As(err, &reported)
--- a/internal/cluster/fencing/transaction.go
+++ b/internal/cluster/fencing/transaction.go
@@ -11,17 +11,19 @@
 	"ashstand/internal/cluster/jobs"
 )
 
-// inFailedTransaction is the SQLSTATE of a transaction in which a statement has failed.
+// inFailedTransaction is the SQLSTATE in_failed_sql_transaction: an earlier statement of the transaction has failed.
 const inFailedTransaction = "25P02"
 
-// Timeouts are kept by the host itself, also where the pooler has died or can't be reached any more; 0: none.
+// Timeouts are enforced by the database host itself, even if the pooler has died or is unreachable. A value of 0 means no
+// timeout.
 type Timeouts struct {
-	Lock              time.Duration // lock_timeout
-	Statement         time.Duration // statement_timeout
-	IdleInTransaction time.Duration // idle_in_transaction_session_timeout: the host then rolls back and releases the locks
+	Lock      time.Duration // lock_timeout
+	Statement time.Duration // statement_timeout
+	// IdleInTransaction is idle_in_transaction_session_timeout. When it expires the host rolls back and releases the locks.
+	IdleInTransaction time.Duration
 }
 
-// SetTimeouts sets them for a connection.
+// SetTimeouts sets the timeouts for a connection.
 func SetTimeouts(ctx context.Context, conn *pgconn.PgConn, t Timeouts) error {
 	_, err := conn.Exec(ctx, fmt.Sprintf("SET lock_timeout = %d; SET statement_timeout = %d; SET idle_in_transaction_session_timeout = %d",
 		millisRoundedUp(t.Lock), millisRoundedUp(t.Statement), millisRoundedUp(t.IdleInTransaction))).ReadAll()
@@ -30,15 +32,16 @@
 
 func millisRoundedUp(d time.Duration) int64 { return max(0, (d + time.Millisecond - 1).Milliseconds()) }
 
-// Transact runs do at a group's primary in one transaction whose first statement raises the job's fence. An error that the
-// host did not report itself is an *InDoubtError: the transaction may have been committed.
+// Transact runs do on a group's primary, in one transaction whose first statement raises the token in the job's fence row.
+// An error that the host did not report itself is returned as an *InDoubtError, because the transaction may have been
+// committed. If no host accepts writes, it returns a *NoPrimaryError.
 func (c *Client) Transact(ctx context.Context, group uint64, database, job string, token jobs.FencingToken, action string,
 	do func(ctx context.Context, conn *pgconn.PgConn) error,
 ) error {
 	return c.TransactWithin(ctx, Timeouts{}, group, database, job, token, action, do)
 }
 
-// TransactWithin is Transact within timeouts that the host keeps.
+// TransactWithin is like Transact, with timeouts that the host enforces.
 func (c *Client) TransactWithin(ctx context.Context, timeouts Timeouts, group uint64, database, job string, token jobs.FencingToken, action string,
 	do func(ctx context.Context, conn *pgconn.PgConn) error,
 ) error {
@@ -71,11 +74,11 @@
 	if conn.IsClosed() {
 		return inDoubt(err)
 	}
-	_, _, _ = Exec(ctx, conn, "ROLLBACK") // the host rolls back by itself once the connection closes
+	_, _, _ = Exec(ctx, conn, "ROLLBACK") // if it fails, the host rolls back once the connection closes
 	return WrapUncoded(err, inDoubt)
 }
 
-// commit ends a transaction. A host answers COMMIT with ROLLBACK where a statement had failed.
+// commit commits a transaction. A host answers COMMIT with ROLLBACK if a statement of the transaction has failed.
 func commit(ctx context.Context, conn *pgconn.PgConn) error {
 	results, err := conn.Exec(ctx, "COMMIT").ReadAll()
 	if err != nil {
@@ -87,7 +90,7 @@
 	return nil
 }
 
-// WrapUncoded wraps the error of a transaction that was rolled back, unless something in its chain has a Code of its own.
+// WrapUncoded wraps the error of a transaction that was rolled back, unless an error in its chain has a Code method.
 func WrapUncoded(err error, wrap func(error) error) error {
 	var coded interface{ Code() string }
 	if errors.As(err, &coded) {
