--- a/internal/cluster/jobs/command.go
+++ b/internal/cluster/jobs/command.go
@@ -7,19 +7,19 @@
 	"slices"
 )
 
-// Command is one change of the state machine. The set is closed: each EntryType has one type. A command that is rejected
-// changes nothing.
+// Command is one change of the state machine. The set of commands is closed: each EntryType has one Go type. A rejected
+// command changes nothing.
 type Command interface {
 	// Entry encodes the command.
 	Entry() Entry
 
-	// validate checks the command by itself.
+	// validate checks the command without reference to any state.
 	validate() *RejectedError
 	// apply makes the change.
 	apply(m *StateMachine) *RejectedError
 }
 
-// Apply decodes an entry of the log and makes its change; a rejected one changes nothing.
+// Apply decodes an entry of the log and applies its command. A rejected entry changes nothing.
 func (m *StateMachine) Apply(e Entry) *RejectedError {
 	command, rejected := e.Command()
 	if rejected != nil {
@@ -64,7 +64,7 @@
 	return nil
 }
 
-// evictFinished makes room for a job: the one that finished first goes once there are too many finished ones.
+// evictFinished removes the job that finished first if the limit on finished jobs is reached.
 func (m *StateMachine) evictFinished() {
 	var finished []*Job
 	for _, job := range m.Jobs {
@@ -79,8 +79,8 @@
 	delete(m.Jobs, oldest.Name)
 }
 
-// Assign gives a job its next holder. Only the log's leader proposes it. It names the token that it replaces: of two
-// assignments that cross, one counts.
+// Assign gives a job its next holder. Only the log's leader proposes it. It names the token that it replaces, so that of two
+// concurrent assignments only one is accepted.
 type Assign struct {
 	Job         string
 	Replaces    FencingToken
@@ -118,7 +118,8 @@
 	return nil
 }
 
-// Release gives a job back; its incarnation stays, so that the process which ends is not assigned the job again.
+// Release ends a holder's lease on a job. The job keeps the incarnation of the holder's process, so that a process that is
+// shutting down is not assigned the job again.
 type Release struct {
 	Job   string
 	Token FencingToken
@@ -140,7 +141,7 @@
 	return nil
 }
 
-// Announce says that the holder is about to execute an operation at a step, and which approval the operation uses.
+// Announce records that the holder is about to execute an operation at a step, and which approval the operation uses.
 type Announce struct {
 	Job       string
 	Token     FencingToken
@@ -164,7 +165,7 @@
 	if current.Operation != nil {
 		return reject(RejectOperationOpen, c.Job, c.Operation.Number, current.Operation.Number)
 	}
-	if c.Step != current.Step { // a late entry: that step's operation is confirmed
+	if c.Step != current.Step { // a late entry: the operation of that step has been confirmed
 		return reject(RejectWrongStep, c.Job, c.Step, current.Step)
 	}
 	if next := current.NextOperationNumber(); c.Operation.Number != next {
@@ -183,7 +184,7 @@
 	return nil
 }
 
-// Confirm says that the announced operation was executed, and what it left.
+// Confirm records that the announced operation was executed, and its result.
 type Confirm struct {
 	Job       string
 	Token     FencingToken
@@ -211,7 +212,7 @@
 	job.Step++
 	job.State = bytes.Clone(c.Result.State)
 	if job.Approval != nil && !job.Approval.Persistent {
-		job.Approval = nil // it was given for the step before
+		job.Approval = nil // it was given for the step that has just ended
 	}
 	if c.Result.Finished {
 		job.Finished, job.Reason, job.Holder, job.Incarnation = true, c.Result.Reason, "", 0
@@ -220,7 +221,7 @@
 	return nil
 }
 
-// Abort says that the announced operation was found not executed, and that what was left of it is cleaned up.
+// Abort records that the announced operation was found not to have been executed, and that its leftovers were cleaned up.
 type Abort struct {
 	Job       string
 	Token     FencingToken
@@ -246,7 +247,8 @@
 	unused := job.Operation.Approval
 	job.Operation = nil
 	job.AbortedOperations++
-	// The approval was not used after all. A persistent one goes before what was approved meanwhile.
+	// The aborted operation did not use its approval, so the job gets it back. A persistent one replaces a non-persistent
+	// approval that was given in the meantime.
 	if unused != nil && (job.Approval == nil || unused.Persistent && !job.Approval.Persistent) {
 		job.Approval = unused
 	}
@@ -254,7 +256,7 @@
 	return nil
 }
 
-// Approve records an operator's approval for the job's present step.
+// Approve records an operator's approval for the job's current step.
 type Approve struct {
 	Job      string
 	Approval Approval
@@ -292,8 +294,9 @@
 	return nil
 }
 
-// RaiseToken records a token that a database host has seen, so that the next holder's is higher. The holder of the named job
-// can't go on with a lower token, and loses the job. Without a job's name it only raises the highest token.
+// RaiseToken records a token that a database host has seen, so that the next holder gets a higher one. If the named job's
+// holder has a lower token, its operations would be fenced, so it loses the job. Without a job's name the command only raises
+// the highest token.
 type RaiseToken struct {
 	Job   string
 	Token FencingToken
@@ -316,12 +319,13 @@
 	return nil
 }
 
-// Authorize changes no job. It is rejected unless its token is the holder's and the operation, if one is named, is announced:
-// whoever changes something else in the same entry of the log, such as the rules, has that change guarded by the job's lease.
+// Authorize changes no job. It is rejected unless its token is that of the holder and the operation, if one is named, is
+// announced. An entry of the log that changes something else, such as the rules, carries an Authorize so that the change takes
+// effect only under the job's lease.
 type Authorize struct {
 	Job       string
 	Token     FencingToken
-	Operation *Operation // nil: any or none
+	Operation *Operation // nil: accepted whether or not an operation is announced
 }
 
 // Entry encodes the command.
--- a/internal/cluster/jobs/doc.go
+++ b/internal/cluster/jobs/doc.go
@@ -1,15 +1,16 @@
-// Package jobs is the replicated state machine of jobs that one pooler at a time carries out on behalf of all. It has no
-// I/O, clock, logger or goroutine; whoever calls it passes the time in.
+// Package jobs implements the replicated state machine of jobs. Each job is carried out by one pooler at a time on behalf of
+// the cluster. The package performs no I/O, reads no clock, logs nothing and starts no goroutine; callers pass the time in.
 //
-// Three parts use each other:
+// It has three parts:
 //
-//   - StateMachine is the state that the log's entries lead to. It is the same on every replica that applied the same entries.
+//   - StateMachine is the state that results from the log's entries. Replicas that applied the same entries hold the same
+//     state.
 //   - Scheduler runs beside the log's leader. It watches lease holders and proposes the next one.
-//   - Handler is what each kind of job implements: a pure decision what comes next, and the operations that act on database
-//     hosts.
+//   - Handler is the interface that each kind of job implements: a pure function that decides what comes next, and the
+//     operations that act on database hosts.
 //
-// Safety never rests on a clock. A lease says when to stop trying. The FencingToken is what rejects the operations of an
-// earlier holder, in the log and at each database host (package fencing). An operation is announced in the log, executed, and
-// confirmed. The next holder finds out whether an announced operation was executed before it goes on. docs/owner.md derives
-// the times.
+// Safety does not depend on clocks. A lease only tells its holder when to stop starting operations. Operations of an earlier
+// holder are rejected by their FencingToken, in the log and at each database host (package fencing). An operation is announced
+// in the log, then executed, then confirmed. Before a new holder continues, it finds out whether an announced operation was
+// executed. docs/owner.md derives the lease times.
 package jobs
--- a/internal/cluster/jobs/entry.go
+++ b/internal/cluster/jobs/entry.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// EntryType says what an entry of the log does to a job.
+// EntryType identifies what an entry of the log does to a job.
 type EntryType string
 
-// The types of entries. Those of a lease holder carry its token. The values are stored and sent: they never change.
+// The types of entries. Entries that a lease holder proposes carry its token. The values are stored and sent: they never change.
 const (
 	EntryCreate     EntryType = "create"   // see Create
 	EntryAssign     EntryType = "assign"   // see Assign
@@ -22,7 +22,7 @@
 	EntryAuthorize  EntryType = "act"      // see Authorize
 )
 
-// Entry is the encoded form of a Command, as it stands in the log and in messages. Which fields count depends on the type;
+// Entry is the encoded form of a Command in the log and in messages. The type determines which fields are used; the method
 // Command decodes them. The JSON keys never change.
 type Entry struct {
 	Type           EntryType       `json:"op"`
@@ -41,7 +41,7 @@
 	Reason         string          `json:"why,omitempty"`
 }
 
-// Limits of what the state machine stores.
+// Limits on what the state machine stores.
 const (
 	maxOpenJobs       = 64
 	maxFinishedJobs   = 64
@@ -50,10 +50,10 @@
 	maxRequiredGroups = 64
 )
 
-// forbiddenInNames are characters that would make an operation's ID ambiguous or need quoting at a database host.
+// forbiddenInNames lists the characters that would make an operation's ID ambiguous or need quoting at a database host.
 const forbiddenInNames = "/\x00'\""
 
-// Validate reports what is wrong with an entry by itself, whatever the state machine holds; nil: nothing.
+// Validate checks an entry without reference to the state machine. It returns nil if the entry is valid.
 func (e *Entry) Validate() *RejectedError {
 	_, rejected := e.Command()
 	return rejected
@@ -71,7 +71,7 @@
 	return command, command.validate()
 }
 
-// validateFields checks what holds for entries of every type.
+// validateFields checks the rules that apply to entries of every type.
 func (e *Entry) validateFields() *RejectedError {
 	if e.Type != EntryRaiseToken && (e.Job == "" || len(e.Job) > maxNameBytes || strings.ContainsAny(e.Job, forbiddenInNames)) {
 		return malformed(e.Job, "a name has 1 to %d characters and none of / ' \"", maxNameBytes)
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// decode returns the command that an entry encodes; nil: its type is unknown.
+// decode returns the command that an entry encodes, or nil if its type is unknown.
 func (e *Entry) decode() Command {
 	switch e.Type {
 	case EntryCreate:
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// operation returns the entry's operation; one that is missing comes out without a number, which is malformed.
+// operation returns the entry's operation. If there is none it returns an operation with number 0, which validation rejects.
 func (e *Entry) operation() Operation {
 	if e.Operation == nil {
 		return Operation{}
@@ -126,7 +126,7 @@
 	return *e.Operation
 }
 
-// validatePayload checks a JSON document that is to be stored. tooLong and invalid are the details of a rejection.
+// validatePayload checks a JSON document that is to be stored. tooLong and invalid are the details of the rejections.
 func validatePayload(job string, payload json.RawMessage, tooLong, invalid string) *RejectedError {
 	if len(payload) > maxPayloadBytes {
 		return limitExceeded(job, tooLong, len(payload), maxPayloadBytes)
@@ -137,7 +137,8 @@
 	return nil
 }
 
-// malformed and limitExceeded reject an entry by itself. Details are sent, as rejectTexts are: their wording never changes.
+// malformed and limitExceeded reject an invalid entry. The details are sent between poolers, like rejectTexts: their wording
+// never changes.
 func malformed(job, detail string, args ...any) *RejectedError {
 	return &RejectedError{Reason: RejectMalformed, Job: job, Detail: fmt.Sprintf(detail, args...)}
 }
--- a/internal/cluster/jobs/errors.go
+++ b/internal/cluster/jobs/errors.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// RejectCode says why an entry is rejected.
+// RejectCode identifies why an entry is rejected.
 type RejectCode string
 
 // The codes. They are stored and sent: the values never change.
 const (
 	RejectStaleToken       RejectCode = "token_old"   // a later holder was assigned
-	RejectNotHolder        RejectCode = "not_owner"   // nobody holds the job under that token
+	RejectNotHolder        RejectCode = "not_owner"   // the job has no holder with that token
 	RejectUnknownJob       RejectCode = "no_work"     // no job has that name
 	RejectJobExists        RejectCode = "work_exists" // a job has that name
 	RejectOperationOpen    RejectCode = "deed_open"   // another operation is announced
@@ -20,9 +20,9 @@
 	RejectMalformed        RejectCode = "malformed"
 )
 
-// rejectTexts says for each code what is wrong. The text is sent between poolers of different versions: it never changes, and
-// so still has the words of the first version ("work" is a job, "owner" its lease holder, "deed" an operation, "word" an
-// approval).
+// rejectTexts holds the error message of each code. The messages are sent between poolers of different versions, so they never
+// change and still use the terms of the first version: "work" is a job, "owner" its lease holder, "deed" an operation, "word"
+// an approval.
 var rejectTexts = map[RejectCode]string{
 	RejectStaleToken:       "a later owner has been named",
 	RejectNotHolder:        "nobody owns it under that token",
@@ -37,7 +37,7 @@
 	RejectMalformed:        "the entry makes no sense",
 }
 
-// rejectAdvice says for each code what an operator can do.
+// rejectAdvice tells operators, for each code, what they can do.
 var rejectAdvice = map[RejectCode]string{
 	RejectStaleToken:       "nothing: the present lease holder goes on after the last confirmed operation; ashstand jobs list shows who that is",
 	RejectNotHolder:        "nothing: the present lease holder goes on after the last confirmed operation; ashstand jobs list shows who that is",
@@ -51,16 +51,16 @@
 	RejectLimitExceeded:    "let open jobs finish first, or make the spec smaller",
 }
 
-// RejectedError is an entry that changed nothing. Its JSON form is stored and sent: keys never change.
+// RejectedError reports that an entry was rejected and changed nothing. Its JSON form is stored and sent: keys never change.
 type RejectedError struct {
 	Reason    RejectCode `json:"code"`
 	Job       string     `json:"work,omitempty"`
 	Presented uint64     `json:"given,omitempty"` // the token, step or operation number that the entry named
-	Current   uint64     `json:"holds,omitempty"` // what the state machine has
+	Current   uint64     `json:"holds,omitempty"` // the value in the state machine
 	Detail    string     `json:"detail,omitempty"`
 }
 
-// Error implements error. The text is sent, see rejectTexts.
+// Error implements error. The text is sent between poolers, see rejectTexts.
 func (e *RejectedError) Error() string {
 	text := rejectTexts[e.Reason]
 	if e.Job != "" {
@@ -78,7 +78,7 @@
 // Code returns the stable code that operators see.
 func (e *RejectedError) Code() string { return string(e.Reason) }
 
-// Advice says what an operator can do.
+// Advice tells operators what they can do.
 func (e *RejectedError) Advice() string {
 	if advice, ok := rejectAdvice[e.Reason]; ok {
 		return advice
@@ -90,7 +90,7 @@
 	return &RejectedError{Reason: code, Job: job, Presented: presented, Current: current}
 }
 
-// FencedError is a database host that rejects a token because it has seen a higher one.
+// FencedError reports that a database host rejected a token because it has seen a higher one.
 type FencedError struct {
 	Target    string // the host or group
 	Presented FencingToken
@@ -105,7 +105,7 @@
 // Code returns the stable code that operators see.
 func (e *FencedError) Code() string { return "fenced" }
 
-// Advice says what an operator can do.
+// Advice tells operators what they can do.
 func (e *FencedError) Advice() string {
 	return "nothing, unless the cluster was bootstrapped anew: then the job's next lease holder gets a higher token than " + e.Target + " has seen"
 }
--- a/internal/cluster/jobs/executor/executor.go
+++ b/internal/cluster/jobs/executor/executor.go
@@ -10,21 +10,22 @@
 	"ashstand/internal/cluster/jobs"
 )
 
-// reconcilesPerPoll is how often the log is looked at within Options.PollMillis.
+// reconcilesPerPoll is how many times per Options.PollMillis the executor reads the jobs from the log.
 const reconcilesPerPoll = 4
 
-// Log is the replicated log, as a pooler sees it. Its methods are safe for concurrent use.
+// Log is the replicated log as seen by one pooler. Its methods are safe for concurrent use.
 type Log interface {
-	// Jobs are those of the state machine as far as they are current here, not to be changed, and until when, by the clock,
-	// this pooler may act.
+	// Jobs returns this pooler's copy of the state machine's jobs, which the caller must not modify, and the time of
+	// Options.Clock until which this pooler's lease is valid.
 	Jobs() (current map[string]jobs.Job, leaseUntil float64)
-	// Propose brings an entry in. A *jobs.RejectedError changed nothing; after any other error it may still come in.
+	// Propose appends an entry to the log. On a *jobs.RejectedError the entry changed nothing; after any other error it may
+	// still be appended later.
 	Propose(ctx context.Context, e jobs.Entry) error
-	// SetReport takes what this pooler reports of itself to the scheduler.
+	// SetReport sets the report that this pooler sends to the scheduler.
 	SetReport(jobs.Report)
 }
 
-// Options are what an executor needs.
+// Options configures an executor.
 type Options struct {
 	Name            string
 	Incarnation     uint64
@@ -32,19 +33,19 @@
 	Handlers        map[string]jobs.Handler // by kind of job
 	Log             Log
 	Clock           clock.Clock
-	PollMillis      float64                            // between two observations of database hosts
-	OperationMillis float64                            // an operation that takes longer is in doubt
-	Reachable       func() (reachable, local []uint64) // groups whose primary answers; nil: none
+	PollMillis      float64                            // interval between observations of database hosts
+	OperationMillis float64                            // timeout of an operation, which is in doubt afterwards
+	Reachable       func() (reachable, local []uint64) // groups whose primary answers, and those in this zone; nil: none
 	Load            func() float64                     // nil: 0
 	Healthy         func() bool                        // nil: always
-	// IgnoreLeaseEnd keeps the end of the lease from cutting an operation short, as if the process were stopped in it. It is
-	// for tests with several processes.
+	// IgnoreLeaseEnd lets an operation continue after the lease has ended, as if the process had been paused during the
+	// operation. It is for tests with several processes.
 	IgnoreLeaseEnd bool
-	// Trace gets each event of an operation, for checkers; nil: none.
+	// Trace receives each event of an operation, for checkers. It may be nil.
 	Trace func(event string, job jobs.Job)
 }
 
-// Executor is running between Start and Stop. Its methods are safe for concurrent use.
+// Executor carries out jobs from Start until Stop. Its methods are safe for concurrent use.
 type Executor struct {
 	options    Options
 	startedAt  float64
@@ -56,7 +57,7 @@
 	// mu guards active with the statuses in it, progress, and the start of goroutines against Stop.
 	mu       sync.Mutex
 	active   map[string]*activeJob // by name
-	progress map[string]uint64     // answers of database hosts, by job
+	progress map[string]uint64     // number of successful attempts, by job
 }
 
 // activeJob is a job that this process holds and carries out.
@@ -65,14 +66,14 @@
 	cancel   context.CancelFunc
 	finished chan struct{} // closed once its goroutine has ended
 
-	// Executor.mu guards what follows.
+	// Executor.mu guards the fields below.
 	waitingFor   string
 	options      []jobs.ApprovalOption
-	lastError    error // of the last attempt; nil: it went well
+	lastError    error // error of the last attempt; nil: it succeeded
 	lastResponse float64
 }
 
-// Start follows the log and carries out the jobs that this process holds, until Stop.
+// Start starts an executor, which carries out the jobs that this process holds until Stop.
 func Start(o Options) *Executor {
 	e := &Executor{options: o, startedAt: o.Clock.Now(), active: map[string]*activeJob{}, progress: map[string]uint64{}}
 	e.ctx, e.cancel = context.WithCancel(context.Background())
@@ -80,8 +81,8 @@
 	return e
 }
 
-// Drain releases every job: open operations are completed, no other is begun, and the leases are given back. It returns once
-// that is done, or when ctx ends: then the leases expire by themselves.
+// Drain releases every job: it completes open operations, starts no others and gives up the leases. It returns when that is
+// done, or when ctx ends; in that case the leases that remain expire.
 func (e *Executor) Drain(ctx context.Context) {
 	e.draining.Store(true)
 	for {
@@ -98,7 +99,7 @@
 	}
 }
 
-// anyActive returns the channel that the end of some active job closes; nil: there is none.
+// anyActive returns the finished channel of any one active job, or nil if there is none.
 func (e *Executor) anyActive() chan struct{} {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -108,7 +109,7 @@
 	return nil
 }
 
-// Stop cancels what is under way and waits for all goroutines.
+// Stop cancels the operations in progress and waits for all goroutines to end.
 func (e *Executor) Stop() {
 	e.mu.Lock()
 	e.cancel()
@@ -116,7 +117,7 @@
 	e.background.Wait()
 }
 
-// run follows the log.
+// run reconciles the active jobs with the log and reports to the scheduler, periodically until Stop.
 func (e *Executor) run() {
 	ticker := time.NewTicker(clock.Duration(max(1, e.options.PollMillis/reconcilesPerPoll)))
 	defer ticker.Stop()
@@ -131,7 +132,7 @@
 	}
 }
 
-// holds reports whether a job is this process's.
+// holds reports whether this process holds a job.
 func (e *Executor) holds(job *jobs.Job) bool {
 	return !job.Finished && job.Holder == e.options.Name && job.Incarnation == e.options.Incarnation
 }
@@ -165,7 +166,7 @@
 	}
 }
 
-// start carries a job out in a goroutine of its own. The caller holds mu and has seen that ctx has not ended.
+// start carries out a job in its own goroutine. The caller holds mu and has checked that ctx has not ended.
 func (e *Executor) start(job *jobs.Job, handler jobs.Handler) {
 	ctx, cancel := context.WithCancel(e.ctx)
 	active := &activeJob{token: job.Token, cancel: cancel, finished: make(chan struct{})}
--- a/internal/cluster/jobs/executor/executor_test.go
+++ b/internal/cluster/jobs/executor/executor_test.go
@@ -16,15 +16,15 @@
 	"ashstand/internal/cluster/jobs"
 )
 
-// cluster is a log that answers at once, and one database host with a fence.
+// cluster is a fake log without delay, together with one fake database host that checks fencing tokens.
 type cluster struct {
 	mu         sync.Mutex
 	machine    jobs.StateMachine
-	leaseUntil map[string]float64 // of leases
+	leaseUntil map[string]float64 // end of the lease, by process
 	token      jobs.FencingToken
 	rows       []string // operations that the host has executed
 	fenced     int
-	paused     map[string]map[string]jobs.Job // what a process that is paused sees of the log
+	paused     map[string]map[string]jobs.Job // the outdated jobs that a paused process sees, by process
 }
 
 func (w *cluster) propose(e jobs.Entry) error {
@@ -64,11 +64,11 @@
 func (l clusterLog) Propose(_ context.Context, e jobs.Entry) error { return l.propose(e) }
 func (l clusterLog) SetReport(jobs.Report)                         {}
 
-// count writes rows leaseUntil there are as many as its spec says.
+// rowHandler writes one row per operation until there are as many as its spec says.
 type rowHandler struct {
 	*cluster
-	beforeExecute func(d *jobs.Operation)       // before the host is asked
-	afterExecute  func(d *jobs.Operation) error // after the host has executed it, before its answer
+	beforeExecute func(d *jobs.Operation)       // called before the host executes the operation
+	afterExecute  func(d *jobs.Operation) error // called after that; its error replaces the answer
 }
 
 func (c *rowHandler) Next(_ float64, w *jobs.Job, _ any) jobs.Decision {
@@ -155,7 +155,7 @@
 }
 
 func TestOperationsInDoubtAreRecovered(t *testing.T) {
-	// Every third answer is lost afterExecute the act, every fifth deed never gets there: each row is there once.
+	// Every third answer is lost after the host has executed the operation. Each row must still be written exactly once.
 	w := newCluster(t, 40)
 	n := 0
 	k := &rowHandler{cluster: w}
@@ -170,8 +170,8 @@
 	require.Zero(t, w.job().AbortedOperations)
 }
 
-// The holder is paused before it executes an operation, for longer than its lease; another one aborts the operation, and goes
-// on. The first one resumes and executes it.
+// The holder is paused before it executes an operation, and another holder is assigned, aborts the operation and continues.
+// When the first one resumes and executes it, the host must reject it.
 func TestHolderPausedDuringOperation(t *testing.T) {
 	w := newCluster(t, 20)
 	pausedNow, resume := make(chan struct{}), make(chan struct{})
@@ -205,7 +205,7 @@
 	w.leaseUntil["a"] = 0
 	w.mu.Unlock()
 	var at uint64
-	require.Eventually(t, func() bool { // until nothing changes any more
+	require.Eventually(t, func() bool { // until the step no longer changes
 		was := at
 		at = w.job().Step
 		time.Sleep(20 * time.Millisecond)
@@ -229,7 +229,7 @@
 	require.Nil(t, got.Operation, "the open operation was completed")
 }
 
-// A host has seen a higher token than the log: the holder reports it, and the job is assigned above it.
+// A host has seen a higher token than the log has: the holder reports it, and the job is assigned again with a higher one.
 func TestHostHasSeenHigherToken(t *testing.T) {
 	w := newCluster(t, 3)
 	w.token = 50
@@ -240,7 +240,7 @@
 	require.Equal(t, jobs.FencingToken(51), w.job().Token)
 }
 
-// Stop returns once the job's goroutine has ended, also while the handler ignores that its context has.
+// Stop waits until the job's goroutine has ended, even if the handler ignores that its context has been cancelled.
 func TestStopWaitsForJobs(t *testing.T) {
 	w := newCluster(t, 10)
 	executing, proceed := make(chan struct{}), make(chan struct{})
--- a/internal/cluster/jobs/executor/operation.go
+++ b/internal/cluster/jobs/executor/operation.go
@@ -7,7 +7,8 @@
 	"ashstand/internal/cluster/jobs"
 )
 
-// Events of an operation, as Options.Trace gets them; the operation's ID follows. Checkers read them.
+// Prefixes of the events passed to Options.Trace. The operation's ID follows, or the host's name after traceFenced. Checkers
+// match them.
 const (
 	traceAnnounced   = "announced "
 	traceExecuted    = "acted "
@@ -24,7 +25,7 @@
 	}
 }
 
-// propose brings a command into the log.
+// propose appends a command to the log.
 func (r *jobRun) propose(ctx context.Context, command jobs.Command) error {
 	proposing, cancel := r.executor.withTimeout(ctx)
 	defer cancel()
@@ -35,7 +36,7 @@
 func (r *jobRun) execute(ctx context.Context, job *jobs.Job, decision *jobs.Decision) error {
 	operation := jobs.Operation{Number: job.NextOperationNumber(), Name: decision.OperationName, Data: decision.Data}
 	err := r.propose(ctx, jobs.Announce{Job: r.name, Token: r.active.token, Step: job.Step, Operation: operation, Approval: decision.Approval})
-	if err != nil { // unless it was rejected it may still come into the log, and is recovered then
+	if err != nil { // unless rejected, the entry may still reach the log; then the operation is recovered
 		r.awaitEffect(ctx, func(now *jobs.Job) bool { return now.Revision > job.Revision })
 		return err
 	}
@@ -43,7 +44,7 @@
 	announced := *job
 	announced.Operation = &operation
 	r.trace(traceAnnounced+operation.ID(r.name), &announced)
-	result, err := r.handle(ctx, &announced)
+	result, err := r.callHandler(ctx, &announced)
 	if err != nil {
 		r.trace(traceFailed+operation.ID(r.name)+": "+err.Error(), &announced)
 		r.raiseToken(ctx, job, err)
@@ -54,8 +55,8 @@
 	return r.confirm(ctx, &announced, result)
 }
 
-// handle has the handler execute the announced operation.
-func (r *jobRun) handle(ctx context.Context, job *jobs.Job) (jobs.Result, error) {
+// callHandler has the handler execute the announced operation, within the timeout.
+func (r *jobRun) callHandler(ctx context.Context, job *jobs.Job) (jobs.Result, error) {
 	if r.executor.options.IgnoreLeaseEnd {
 		ctx = context.WithoutCancel(ctx)
 	}
@@ -79,7 +80,7 @@
 		return r.confirm(ctx, job, result)
 	}
 	r.trace(traceNotExecuted+operation.ID(r.name), job)
-	err = r.propose(ctx, jobs.Abort{Job: r.name, Token: r.active.token, Operation: reference(operation)})
+	err = r.propose(ctx, jobs.Abort{Job: r.name, Token: r.active.token, Operation: operationReference(operation)})
 	r.awaitEffect(ctx, func(now *jobs.Job) bool { return now.Operation == nil || now.Operation.Number != operation.Number })
 	return err
 }
@@ -87,7 +88,7 @@
 // confirm records in the log that the announced operation was executed.
 func (r *jobRun) confirm(ctx context.Context, job *jobs.Job, result jobs.Result) error {
 	operation := job.Operation
-	err := r.propose(ctx, jobs.Confirm{Job: r.name, Token: r.active.token, Operation: reference(operation), Result: result})
+	err := r.propose(ctx, jobs.Confirm{Job: r.name, Token: r.active.token, Operation: operationReference(operation), Result: result})
 	if err == nil {
 		r.trace(traceConfirmed+operation.ID(r.name), job)
 	}
@@ -95,18 +96,18 @@
 	return err
 }
 
-// reference is what identifies an operation within its job.
-func reference(operation *jobs.Operation) jobs.Operation {
+// operationReference returns the fields that identify an operation within its job.
+func operationReference(operation *jobs.Operation) jobs.Operation {
 	return jobs.Operation{Number: operation.Number, Name: operation.Name}
 }
 
-// raiseToken tells the log of a higher token that a database host has seen.
+// raiseToken records in the log a higher token that a database host has seen.
 func (r *jobRun) raiseToken(ctx context.Context, job *jobs.Job, err error) {
 	var fenced *jobs.FencedError
 	if !errors.As(err, &fenced) || fenced.Current <= job.Token {
 		return
 	}
 	r.trace(traceFenced+fenced.Target, job)
-	// If it does not come into the log, the next attempt meets the same token.
+	// If the proposal fails, the next attempt is rejected with the same token and proposes it again.
 	_ = r.propose(ctx, jobs.RaiseToken{Job: r.name, Token: fenced.Current})
 }
--- a/internal/cluster/jobs/executor/run.go
+++ b/internal/cluster/jobs/executor/run.go
@@ -13,20 +13,20 @@
 const (
 	// maxBackoffDoublings bounds the backoff after failed attempts.
 	maxBackoffDoublings = 4
-	// minWaitMillis is the shortest time between two looks at the log.
+	// minWaitMillis is the interval at which the log is polled if PollMillis does not require a longer one.
 	minWaitMillis = 2
-	// logLagOperations is how many times OperationMillis an entry's effect is waited for.
+	// logLagOperations limits the wait for an entry's effect, as a multiple of OperationMillis.
 	logLagOperations = 2
 )
 
-// jobRun carries one job out in one goroutine. It ends when another process holds the job, or with the lease.
+// jobRun carries out one job in one goroutine. It ends when another process holds the job, or when the lease ends.
 type jobRun struct {
 	executor    *Executor
 	name        string
 	active      *activeJob
 	handler     jobs.Handler
-	observation any // what Handler.Observe returned last; nil: nothing since the last operation
-	failures    int // in a row
+	observation any // last result of Handler.Observe; nil: none since the last operation
+	failures    int // consecutive failed attempts
 }
 
 func (r *jobRun) run(ctx context.Context) {
@@ -40,7 +40,7 @@
 		}
 		switch {
 		case job.Operation != nil: // announced before, by this holder or another: it may have been executed
-			r.completed(ctx, r.recoverOperation(ctx, &job))
+			r.finishAttempt(ctx, r.recoverOperation(ctx, &job))
 		case r.executor.draining.Load():
 			if r.release(ctx) {
 				return
@@ -51,7 +51,7 @@
 	}
 }
 
-// release gives the job back, and reports whether that is done.
+// release gives up the job's lease, and reports whether the log has recorded or rejected that.
 func (r *jobRun) release(ctx context.Context) bool {
 	err := r.propose(ctx, jobs.Release{Job: r.name, Token: r.active.token})
 	var rejected *jobs.RejectedError
@@ -62,12 +62,12 @@
 	return false
 }
 
-// advance executes the next operation, or waits for what the job waits for.
+// advance executes the next operation. If there is none, it observes the database hosts and waits.
 func (r *jobRun) advance(ctx context.Context, job *jobs.Job) {
 	decision := r.handler.Next(r.executor.options.Clock.Now(), job, r.observation)
 	r.executor.recordDecision(r.active, &decision)
 	if decision.OperationName != "" {
-		r.completed(ctx, r.execute(ctx, job, &decision))
+		r.finishAttempt(ctx, r.execute(ctx, job, &decision))
 		return
 	}
 	if !r.observe(ctx, job) {
@@ -84,8 +84,8 @@
 	r.waitForChange(ctx, job.Revision, wait)
 }
 
-// completed notes how an operation went, and backs off if it failed. What was observed before counts no more.
-func (r *jobRun) completed(ctx context.Context, err error) {
+// finishAttempt records the outcome of an operation, and backs off if it failed. A success discards the earlier observation.
+func (r *jobRun) finishAttempt(ctx context.Context, err error) {
 	r.executor.recordAttempt(r.name, r.active, err)
 	if err != nil {
 		r.failures++
@@ -95,7 +95,7 @@
 	r.failures, r.observation = 0, nil
 }
 
-// observe has the handler look at the database hosts, and reports whether one answered.
+// observe has the handler query the database hosts, and reports whether one answered.
 func (r *jobRun) observe(ctx context.Context, job *jobs.Job) bool {
 	observing, cancel := r.executor.withTimeout(ctx)
 	observation, err := r.handler.Observe(observing, job)
@@ -110,17 +110,17 @@
 	return true
 }
 
-// withTimeout bounds one operation, observation or entry.
+// withTimeout limits one operation, observation or proposal to OperationMillis.
 func (e *Executor) withTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, clock.Duration(e.options.OperationMillis))
 }
 
-// backOff waits before the next attempt, longer after each further failure.
+// backOff waits before the next attempt. The wait doubles with each consecutive failure, at most maxBackoffDoublings times.
 func (r *jobRun) backOff(ctx context.Context, failures int) {
 	sleep(ctx, r.executor.options.PollMillis*float64(int(1)<<min(failures-1, maxBackoffDoublings)))
 }
 
-// waitForChange waits, but no longer than until the job changes in the log.
+// waitForChange waits until the job changes in the log, the wait is over, or the executor drains.
 func (r *jobRun) waitForChange(ctx context.Context, revision uint64, waitMillis float64) {
 	interval := min(waitMillis, max(minWaitMillis, r.executor.options.PollMillis/reconcilesPerPoll))
 	for end := r.executor.options.Clock.Now() + waitMillis; ctx.Err() == nil && !r.executor.draining.Load() && r.executor.options.Clock.Now() < end; {
@@ -132,7 +132,8 @@
 	}
 }
 
-// awaitEffect waits until this process's copy of the job shows what an entry led to: the proposer may know it before.
+// awaitEffect waits until the effect of an entry is visible in this process's copy of the job, which may be later than
+// Propose returns.
 func (r *jobRun) awaitEffect(ctx context.Context, visible func(*jobs.Job) bool) {
 	end := r.executor.options.Clock.Now() + logLagOperations*r.executor.options.OperationMillis
 	for ctx.Err() == nil && r.executor.options.Clock.Now() < end {
--- a/internal/cluster/jobs/executor/status.go
+++ b/internal/cluster/jobs/executor/status.go
@@ -8,17 +8,17 @@
 	"ashstand/internal/remedy"
 )
 
-// Status is what operators see of a job that this process carries out. Its JSON form is shown by the admin socket.
+// Status describes to operators a job that this process carries out. Its JSON form is shown by the admin socket.
 type Status struct {
 	WaitingFor         string                `json:"waits_for,omitempty"`
 	Options            []jobs.ApprovalOption `json:"words,omitempty"`
-	Message            string                `json:"error,omitempty"` // of the last attempt
+	Message            string                `json:"error,omitempty"` // error of the last attempt
 	Code               string                `json:"code,omitempty"`
 	Advice             string                `json:"advice,omitempty"`
 	LastResponseMillis float64               `json:"answered_at_ms,omitempty"` // when a database host answered last
 }
 
-// Statuses are those of all jobs that this process carries out, by name.
+// Statuses returns the status of each job that this process carries out, by name.
 func (e *Executor) Statuses() map[string]Status {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -36,7 +36,7 @@
 	return statuses
 }
 
-// report tells the scheduler what this pooler is.
+// report sets this pooler's report to the scheduler.
 func (e *Executor) report() {
 	o := &e.options
 	r := jobs.Report{
@@ -55,7 +55,7 @@
 	o.Log.SetReport(r)
 }
 
-// recordAttempt notes how an attempt went; one without an error counts as progress.
+// recordAttempt records the outcome of an attempt. A successful one counts as progress.
 func (e *Executor) recordAttempt(name string, active *activeJob, err error) {
 	current, _ := e.options.Log.Jobs()
 	e.mu.Lock()
@@ -64,14 +64,14 @@
 		e.progress[name]++
 		active.lastResponse = e.options.Clock.Now()
 	}
-	for other := range e.progress { // jobs that another pooler holds by now
+	for other := range e.progress { // drop jobs that this process no longer holds
 		if job, ok := current[other]; !ok || !e.holds(&job) {
 			delete(e.progress, other)
 		}
 	}
 }
 
-// recordDecision notes what a job waits for and what could be approved.
+// recordDecision records what a job waits for and which actions can be approved.
 func (e *Executor) recordDecision(active *activeJob, decision *jobs.Decision) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/cluster/jobs/golden_test.go
+++ b/internal/cluster/jobs/golden_test.go
@@ -13,8 +13,8 @@
 
 var updateGolden = flag.Bool("update-golden", false, "write the golden files anew")
 
-// goldenValues has one value of each kind that is stored in the agreed log or sent between processes, with every field set.
-// The name is that of the golden file.
+// goldenValues returns one value of each type that is stored in the replicated log or sent between processes, with every
+// field set. The key is the name of the golden file.
 func goldenValues() map[string]any {
 	word := Approval{Action: "rollback", By: "ann", Step: 3, Persistent: true}
 	deed := Operation{Number: 6, Name: "switch", Token: 17, Data: json.RawMessage(`{"rows":12,"until":"b <&> c"}`), Approval: &word}
@@ -28,7 +28,7 @@
 		Name: "d1", Kind: "drill", Spec: json.RawMessage(`{"database":"works"}`), RequiredGroups: []uint64{3}, Incarnation: 8, Token: 12, Step: 20,
 		State: json.RawMessage(`{"done":20}`), HolderCount: 1, AbortedOperations: 1, Finished: true, Reason: "all deeds are done", Revision: 40,
 	}
-	all := ended // which no work ever is: for the sake of every key
+	all := ended // no real job has all of these fields; this covers every key
 	all.Holder, all.Operation, all.Approval = "n2", &deed, &other
 	entry := Entry{
 		Job: "orders-to-2", Token: 17, Holder: "n2", Incarnation: 9007199254740995, JobKind: "move", Spec: json.RawMessage(`{"tenant":"orders"}`),
@@ -76,7 +76,7 @@
 	return want
 }
 
-// What is stored and sent keeps its bytes, and what was stored or sent before is read and written again alike.
+// Stored and sent values keep their encoding byte for byte, and earlier encodings survive decoding and encoding unchanged.
 func TestGoldenEncodings(t *testing.T) {
 	for name, value := range goldenValues() {
 		t.Run(name, func(t *testing.T) {
@@ -100,7 +100,7 @@
 	require.Len(t, files, len(goldenValues()), "one file a value")
 }
 
-// The words by which entries and rejections are told apart in the log and in messages.
+// The codes of entries and rejections in the log and in messages stay the same.
 func TestGoldenCodes(t *testing.T) {
 	var got []byte
 	for _, op := range []EntryType{EntryCreate, EntryAssign, EntryRelease, EntryAnnounce, EntryConfirm, EntryAbort, EntryApprove, EntryRaiseToken, EntryAuthorize} {
@@ -114,7 +114,7 @@
 	require.Equal(t, string(goldenFile(t, "codes.txt", got)), string(got)+"\n")
 }
 
-// A log of one entry of each kind comes to the same state, byte for byte.
+// A log with at least one entry of each type leads to the same state, byte for byte.
 func TestGoldenStateOfALog(t *testing.T) {
 	word := &Approval{Action: "go", By: "ann", Step: 1}
 	l := applyAll(t, Entry{Type: EntryCreate, Job: "d1", JobKind: "drill", Spec: json.RawMessage(`{"database":"works"}`), RequiredGroups: []uint64{1}},
--- a/internal/cluster/jobs/noop/doc.go
+++ b/internal/cluster/jobs/noop/doc.go
@@ -1,3 +1,3 @@
-// Package noop is a kind of job that does nothing useful: its lease holder writes one row after another behind the fence of
-// each group. Operators run it to see that jobs are carried out before they trust the fleet with a migration.
+// Package noop implements a kind of job that only exercises the job machinery: its lease holder writes rows to each group in
+// turn, under its fencing token. Operators run it to check that jobs are carried out before they start a migration.
 package noop
--- a/internal/cluster/jobs/noop/golden_test.go
+++ b/internal/cluster/jobs/noop/golden_test.go
@@ -30,7 +30,7 @@
 	return string(want)
 }
 
-// What the log holds of such a work: its kind, its spec, and its state.
+// The encodings of the kind, the spec and the state in the log stay the same.
 func TestGoldenEncodings(t *testing.T) {
 	spec := Spec{Database: "orders", Groups: []uint64{1, 2}, Operations: 20, IntervalMillis: 500.5}
 	st := state{PreparedGroups: 2, Written: 7, WrittenAtMillis: 1234.5}
@@ -48,8 +48,8 @@
 	require.Equal(t, st, s)
 }
 
-// A whole run: what is announced, the states that are proven, and the rows that a db host holds then. Each try's row has a
-// part of its own behind its deed's identity, which is left out.
+// A whole run: the announced operations, the confirmed states, and the rows on the database host afterwards. The random part of
+// each row's key, which follows the operation's ID, is left out.
 func TestGoldenRun(t *testing.T) {
 	c := host.NewCluster(1, 1)
 	t.Cleanup(c.Close)
--- a/internal/cluster/jobs/noop/handler.go
+++ b/internal/cluster/jobs/noop/handler.go
@@ -13,21 +13,21 @@
 	"ashstand/internal/cluster/jobs"
 )
 
-// The operations, and the one action that an operator can approve. They are stored: they never change.
+// The names of the operations, and the one action that an operator can approve. They are stored: they never change.
 const (
-	operationPrepare = "prepare" // creates what writes need at one group; it can be repeated
-	operationWrite   = "write"   // writes one row at one group
+	operationPrepare = "prepare" // creates the schema and tables in one group; it can be repeated
+	operationWrite   = "write"   // writes one row in one group
 	operationStop    = "stop"    // finishes the job; it changes nothing at any host
 	actionStop       = "stop"
 )
 
-// Why a job finished. They are stored.
+// Reasons why a job finished. They are stored: they never change.
 const (
 	reasonStopped   = "stopped"
 	reasonCompleted = "all deeds are done"
 )
 
-// unreadableRetryMillis is when a spec or state that can't be read is looked at again.
+// unreadableRetryMillis is the delay until a spec or state that can't be decoded is read again.
 const unreadableRetryMillis = 1000
 
 // Statements of the operations.
@@ -42,7 +42,8 @@
 type Handler struct {
 	Client *fencing.Client
 	Now    func() float64
-	// DisabledGuarantee is switched off to see that a checker notices: "resume"; "": none.
+	// DisabledGuarantee names a guarantee that is switched off, to test that a checker detects the violation: "resume", or
+	// "" for none.
 	DisabledGuarantee string
 }
 
@@ -59,14 +60,14 @@
 	if st.PreparedGroups < len(spec.Groups) {
 		return jobs.Decision{OperationName: operationPrepare, Options: options}
 	}
-	// Another lease holder's clock may differ: no wait is longer than the interval.
+	// WrittenAtMillis may come from another lease holder's clock, so the wait is limited to the interval.
 	if wait := min(spec.IntervalMillis, st.WrittenAtMillis+spec.IntervalMillis-now); st.Written > 0 && wait > 0 {
 		return jobs.Decision{RetryAfterMillis: wait, Reason: "the interval between two rows", Options: options}
 	}
 	return jobs.Decision{OperationName: operationWrite, Options: options}
 }
 
-// Observe implements jobs.Handler: it finds out whether the primary of the next group answers.
+// Observe implements jobs.Handler: it checks whether the primary of the next group answers.
 func (h *Handler) Observe(ctx context.Context, job *jobs.Job) (any, error) {
 	spec, st, err := decode(job)
 	if err != nil {
@@ -100,7 +101,7 @@
 	return h.result(&spec, st, operation)
 }
 
-// write inserts the operation's row. Each attempt has a row of its own: an operation that was executed twice is seen as two.
+// write inserts the operation's row. Each attempt uses a distinct key, so that an operation executed twice leaves two rows.
 func (h *Handler) write(ctx context.Context, job *jobs.Job, operation *jobs.Operation, spec *Spec, st *state) error {
 	id := operation.ID(job.Name)
 	return h.Client.Transact(ctx, st.group(spec), spec.Database, job.Name, job.Token, id, func(ctx context.Context, conn *pgconn.PgConn) error {
@@ -110,7 +111,7 @@
 	})
 }
 
-// result is what an executed operation leaves.
+// result returns the outcome of an executed operation.
 func (h *Handler) result(spec *Spec, st state, operation *jobs.Operation) (jobs.Result, error) {
 	if operation.Name == operationPrepare {
 		st.PreparedGroups++
@@ -128,7 +129,7 @@
 	return result, nil
 }
 
-// prepare creates what writes need at a group.
+// prepare creates the schema and the tables that writes need in a group.
 func (h *Handler) prepare(ctx context.Context, group uint64, database string) error {
 	conn, host, err := h.Client.ConnectPrimary(ctx, group, database)
 	if err != nil {
@@ -147,8 +148,8 @@
 	return nil
 }
 
-// Recover implements jobs.Handler. It raises the fence first: a transaction of an earlier lease holder was committed before, or
-// never will be.
+// Recover implements jobs.Handler. It raises the token in the fence row first, so that a transaction of an earlier lease holder
+// either was committed before or never will be.
 func (h *Handler) Recover(ctx context.Context, job *jobs.Job, operation *jobs.Operation) (executed bool, result jobs.Result, err error) {
 	spec, st, err := decode(job)
 	if err != nil || operation.Name != operationWrite || h.DisabledGuarantee == "resume" {
--- a/internal/cluster/jobs/noop/spec.go
+++ b/internal/cluster/jobs/noop/spec.go
@@ -19,7 +19,7 @@
 	maxGroups         = 64
 )
 
-// Spec is what an operator orders. Its JSON form is stored: keys never change.
+// Spec is an operator's order for a job. Its JSON form is stored: keys never change.
 type Spec struct {
 	Database       string   `json:"database"`
 	Groups         []uint64 `json:"groups"` // their primaries are written to in turn
@@ -27,7 +27,7 @@
 	IntervalMillis float64  `json:"every_ms"` // from one operation to the next
 }
 
-// SpecError is a job that can't be done as ordered.
+// SpecError reports a key of a spec whose value is not allowed.
 type SpecError struct{ Key, Value, Allowed string }
 
 // Error implements error.
@@ -38,10 +38,10 @@
 // Code returns the stable code that operators see.
 func (e *SpecError) Code() string { return "bad_spec" }
 
-// Advice says what an operator can do.
+// Advice tells operators what they can do.
 func (e *SpecError) Advice() string { return "set " + e.Key + " to " + e.Allowed }
 
-// Validate reports what is wrong with a spec; nil: nothing.
+// Validate checks a spec. It returns nil if the spec is valid.
 func (s *Spec) Validate() error {
 	switch {
 	case s.Database == "" || len(s.Database) > maxDatabaseBytes:
@@ -56,11 +56,11 @@
 	return nil
 }
 
-// state is what confirmed operations have left. Its JSON form is stored: keys never change.
+// state is the result of the confirmed operations. Its JSON form is stored: keys never change.
 type state struct {
 	PreparedGroups  int     `json:"prepared"`
 	Written         int     `json:"done"`
-	WrittenAtMillis float64 `json:"at_ms"` // of the last row, by its lease holder's clock
+	WrittenAtMillis float64 `json:"at_ms"` // time of the last row, by its lease holder's clock
 }
 
 // decode reads a job's spec and state.
@@ -74,5 +74,5 @@
 	return spec, st, err
 }
 
-// group is the one that the next row is written to.
+// group returns the group that the next row is written to.
 func (s *state) group(spec *Spec) uint64 { return spec.Groups[s.Written%len(spec.Groups)] }
--- a/internal/cluster/jobs/scheduler.go
+++ b/internal/cluster/jobs/scheduler.go
@@ -2,81 +2,81 @@
 
 import "math"
 
-// Report is what a pooler reports of itself with each renewal of its lease. Its JSON form is sent: keys never change.
+// Report is what a pooler reports about itself with each renewal of its lease. Its JSON form is sent: keys never change.
 type Report struct {
-	Kinds           []string          `json:"kinds,omitempty"`   // of jobs that its program implements; none: it takes no part
+	Kinds           []string          `json:"kinds,omitempty"`   // kinds of jobs that it implements; none: it is assigned no jobs
 	AcceptsJobs     bool              `json:"willing,omitempty"` // false: it is shutting down
-	Healthy         bool              `json:"sound,omitempty"`   // its storage can be written
+	Healthy         bool              `json:"sound,omitempty"`   // its storage is writable
 	Zone            string            `json:"zone,omitempty"`
 	UptimeMillis    float64           `json:"up,omitempty"`
 	Load            float64           `json:"load,omitempty"`     // fraction of its capacity, 0 to 1
-	ReachableGroups []uint64          `json:"reach,omitempty"`    // groups whose primary answered it of late
-	LocalGroups     []uint64          `json:"near,omitempty"`     // those of them in its own zone
-	Progress        map[string]uint64 `json:"progress,omitempty"` // by job that it holds: rises whenever a database host answered
-	HighestToken    FencingToken      `json:"seen,omitempty"`     // the highest that its storage holds
+	ReachableGroups []uint64          `json:"reach,omitempty"`    // groups whose primary answered it recently
+	LocalGroups     []uint64          `json:"near,omitempty"`     // reachable groups in its own zone
+	Progress        map[string]uint64 `json:"progress,omitempty"` // by job that it holds; rises with each answer of a database host
+	HighestToken    FencingToken      `json:"seen,omitempty"`     // highest token in its storage
 }
 
-// Candidate is a pooler whose lease may still run.
+// Candidate is a pooler whose lease may still be valid.
 type Candidate struct {
 	Name        string
 	Incarnation uint64
-	LeaseUntil  float64 // by the leader's clock, drift included
+	LeaseUntil  float64 // by the leader's clock, with an allowance for clock drift
 	Report      Report
 }
 
-// SchedulerConfig holds the scheduler's times.
+// SchedulerConfig holds the scheduler's time limits.
 type SchedulerConfig struct {
-	StallMillis     float64 // a holder without progress for so long is replaced
-	MinTenureMillis float64 // but not before it has been the holder for so long
-	BackoffMillis   float64 // for how long a holder that stalled is passed over, doubled each further time
-	SettledMillis   float64 // uptime from which a process counts as settled
-	RetryMillis     float64 // a proposed assignment that did not reach the log is proposed again after so long
+	StallMillis     float64 // a holder that makes no progress for this long is replaced
+	MinTenureMillis float64 // a holder is not replaced for a stall before it has held the job for this long
+	BackoffMillis   float64 // a holder that stalled is not eligible for this long; doubled with each further stall
+	SettledMillis   float64 // uptime from which a process is preferred to recently started ones
+	RetryMillis     float64 // delay until an assignment that did not reach the log is proposed again
 }
 
 // maxStalls bounds the doubling of SchedulerConfig.BackoffMillis.
 const maxStalls = 6
 
-// Scheduler runs beside the log's leader: it watches lease holders and proposes the next one. What it has observed is not in
-// the log, and a new leader begins without. It is not safe for concurrent use.
+// Scheduler runs on the log's leader. It monitors lease holders and proposes their replacements. Its observations are not in
+// the log, so a new leader starts without any. It is not safe for concurrent use.
 type Scheduler struct {
 	// HighestToken is the highest token that any pooler reported.
 	HighestToken FencingToken
 
-	config   SchedulerConfig
-	watching map[string]*holderWatch // by job
+	config  SchedulerConfig
+	watches map[string]*holderWatch // by job
 }
 
-// holderWatch is what the scheduler has observed of one job's holder.
+// holderWatch records what the scheduler has observed of one job's holder.
 type holderWatch struct {
 	token      FencingToken
-	assignedAt float64 // when the holder was observed first
+	assignedAt float64 // when the scheduler first saw the holder
 	progress   uint64
-	progressAt float64 // when progress rose last
+	progressAt float64 // when progress last changed
 	proposedAt float64
 	stalls     map[string]stall // by pooler
 }
 
-// stall counts how often a pooler made no progress with a job, and until when it is passed over.
+// stall counts how often a pooler stalled on a job, and says until when the pooler is not eligible for it.
 type stall struct {
 	count        int
 	backoffUntil float64
 }
 
-// NewScheduler returns a scheduler that has observed nothing.
+// NewScheduler returns a scheduler without observations.
 func NewScheduler(config SchedulerConfig) *Scheduler {
-	return &Scheduler{config: config, watching: map[string]*holderWatch{}}
+	return &Scheduler{config: config, watches: map[string]*holderWatch{}}
 }
 
-// Reset forgets what was observed. Whoever becomes the leader calls it first.
-func (s *Scheduler) Reset() { s.watching, s.HighestToken = map[string]*holderWatch{}, 0 }
+// Reset discards all observations. A new leader calls it before the first Tick.
+func (s *Scheduler) Reset() { s.watches, s.HighestToken = map[string]*holderWatch{}, 0 }
 
-// ObserveReport takes in what a pooler reports of itself.
+// ObserveReport processes the report of a pooler.
 func (s *Scheduler) ObserveReport(r Report) { s.HighestToken = max(s.HighestToken, r.HighestToken) }
 
-// Tick returns the entries that are due. While leasesUnknown is set the leader does not know yet who holds a lease, and takes
-// no holder for dead.
+// Tick returns the entries to propose now. While leasesUnknown is set, the leader does not know yet which leases are valid, and
+// treats no lease as expired.
 func (s *Scheduler) Tick(now float64, m *StateMachine, candidates []Candidate, leasesUnknown bool) (due []Entry) {
-	if s.HighestToken > m.HighestToken { // the cluster was bootstrapped anew, beside hosts that have seen the one before
+	if s.HighestToken > m.HighestToken { // the cluster was bootstrapped again, and database hosts have seen tokens of the previous one
 		due = append(due, RaiseToken{Token: s.HighestToken}.Entry())
 	}
 	open := m.OpenJobs()
@@ -93,9 +93,9 @@
 			due = append(due, Assign{Job: name, Replaces: job.Token, Holder: next.Name, Incarnation: next.Incarnation}.Entry())
 		}
 	}
-	for name := range s.watching {
+	for name := range s.watches {
 		if job := m.Jobs[name]; job == nil || job.Finished {
-			delete(s.watching, name)
+			delete(s.watches, name)
 		}
 	}
 	return due
@@ -111,12 +111,12 @@
 	return counts
 }
 
-// watch returns what was observed of a job; it begins anew with each holder.
+// watch returns the observations of a job's holder. Progress and tenure start afresh with each holder; stalls are kept.
 func (s *Scheduler) watch(now float64, job *Job) *holderWatch {
-	watch := s.watching[job.Name]
+	watch := s.watches[job.Name]
 	if watch == nil {
 		watch = &holderWatch{proposedAt: math.Inf(-1), stalls: map[string]stall{}}
-		s.watching[job.Name] = watch
+		s.watches[job.Name] = watch
 	}
 	if watch.token != job.Token || watch.assignedAt == 0 {
 		watch.token, watch.assignedAt, watch.progressAt, watch.progress = job.Token, now, now, 0
@@ -124,8 +124,8 @@
 	return watch
 }
 
-// needsHolder reports whether a job is to get another holder: it has none, the holder's lease has expired, or the holder
-// stalled and somebody can take over.
+// needsHolder reports whether a job needs a new holder: it has none, the holder's lease has expired, or the holder has stalled
+// and another candidate is eligible.
 func (s *Scheduler) needsHolder(job *Job, watch *holderWatch, selection *selection, leasesUnknown bool) bool {
 	if job.Holder == "" {
 		return true
@@ -139,12 +139,12 @@
 		return false
 	}
 	s.backOff(selection.now, watch, job.Holder)
-	// If nobody can take over, the present holder may as well go on.
+	// Without an eligible candidate the current holder keeps the job.
 	_, ok := selection.best(job, watch)
 	return ok
 }
 
-// recordProgress notes a holder's progress; one that makes progress beyond its tenure is forgiven its stalls.
+// recordProgress records a holder's progress. Progress after the minimum tenure clears the holder's stalls.
 func (s *Scheduler) recordProgress(now float64, job *Job, watch *holderWatch, progress uint64) {
 	if progress == watch.progress {
 		return
@@ -159,7 +159,8 @@
 	return now-max(watch.progressAt, watch.assignedAt) > s.config.StallMillis && now-watch.assignedAt >= s.config.MinTenureMillis
 }
 
-// backOff has a stalled holder passed over, longer each further time. It counts once for each tenure.
+// backOff makes a stalled holder ineligible, for twice as long with each further stall. It counts no further stall while the
+// backoff lasts.
 func (s *Scheduler) backOff(now float64, watch *holderWatch, holder string) {
 	stalled := watch.stalls[holder]
 	if stalled.backoffUntil > now {
--- a/internal/cluster/jobs/scheduler_test.go
+++ b/internal/cluster/jobs/scheduler_test.go
@@ -44,7 +44,7 @@
 		require.Len(t, out, 1, c.name)
 		require.Equal(t, c.want, out[0].Holder, c.name)
 	}
-	// Jobs are spread.
+	// Jobs are spread over the candidates.
 	m := applyAll(t, append(create, Entry{Type: EntryCreate, Job: "x", JobKind: "k"})...)
 	out := NewScheduler(cfg).Tick(100, m, []Candidate{with("n1", nil), with("n2", nil)}, false)
 	require.Len(t, out, 2)
@@ -75,7 +75,8 @@
 	w := *m.Jobs["w"]
 	require.Equal(t, 1, w.HolderCount, "a holder with progress stays")
 	require.Equal(t, "n1", w.Holder)
-	// It has its lease and makes no progress: after the configured time another is assigned, and the first is passed over.
+	// The holder keeps its lease but makes no progress: after StallMillis the job is assigned to another candidate, and the
+	// first one is not eligible for a while.
 	stalled := now
 	for m.Jobs["w"].Holder == "n1" {
 		tick(now+10, false)
@@ -84,16 +85,17 @@
 	require.Equal(t, "n2", m.Jobs["w"].Holder)
 	tick(now+4000, true)
 	require.Equal(t, 2, m.Jobs["w"].HolderCount, "the second one makes progress")
-	// Its process ends: the job goes back, though the first stalled before. A new leader waits until it knows the leases.
+	// The second holder's process ends: the job goes back to the first, although it stalled before. A new leader waits until
+	// it knows the leases.
 	cands = cands[:1]
 	require.Empty(t, d.Tick(now, m, cands, true))
 	tick(now+100, true)
 	require.Equal(t, "n1", m.Jobs["w"].Holder)
-	// Alone, it stays, whatever its progress.
+	// The only candidate keeps the job even without progress.
 	tick(now+5000, false)
 	require.Equal(t, 3, m.Jobs["w"].HolderCount)
-	// It releases the job, since its process ends: it is not assigned it again, though its report does not say so yet; its next
-	// process is.
+	// The holder releases the job because its process ends. It is not assigned the job again, although its report still says
+	// that it accepts jobs; the next process of the same name is.
 	w = *m.Jobs["w"]
 	require.Nil(t, m.Apply(Entry{Type: EntryRelease, Job: "w", Token: w.Token}))
 	tick(now+300, true)
@@ -101,7 +103,7 @@
 	cands[0].Incarnation = 3
 	tick(now+100, true)
 	require.Equal(t, "n1", m.Jobs["w"].Holder)
-	// A host has seen a higher token: the job is assigned again above it.
+	// A host has seen a higher token: the job is assigned again with a token above that.
 	require.Nil(t, m.Apply(Entry{Type: EntryRaiseToken, Job: "w", Token: 70}))
 	require.Empty(t, m.Jobs["w"].Holder)
 	tick(now+100, true)
--- a/internal/cluster/jobs/selection.go
+++ b/internal/cluster/jobs/selection.go
@@ -6,18 +6,18 @@
 	"slices"
 )
 
-// loadSteps is how many steps of load are told apart when holders are selected.
+// loadSteps is the number of steps to which the load of candidates is rounded for comparison.
 const loadSteps = 10
 
-// selection chooses holders among the candidates of one tick.
+// selection chooses job holders from the candidates of one tick.
 type selection struct {
 	now           float64
 	candidates    []Candidate
 	settledMillis float64
-	assignedJobs  map[string]int // by pooler, those proposed in this tick included
+	assignedJobs  map[string]int // by pooler, including assignments proposed in this tick
 }
 
-// leaseOf returns the holder of a job if its lease runs.
+// leaseOf returns the holder of a job, or nil if the holder's lease has expired.
 func (s *selection) leaseOf(job *Job) *Candidate {
 	i := slices.IndexFunc(s.candidates, func(c Candidate) bool {
 		return c.Name == job.Holder && c.Incarnation == job.Incarnation && c.LeaseUntil > s.now
@@ -28,7 +28,7 @@
 	return &s.candidates[i]
 }
 
-// best returns the best of the eligible candidates.
+// best returns the best eligible candidate. ok is false if there is none.
 func (s *selection) best(job *Job, watch *holderWatch) (best Candidate, ok bool) {
 	for _, candidate := range s.candidates {
 		if s.isEligible(job, watch, &candidate) && (!ok || s.compare(job, watch, &candidate, &best) < 0) {
@@ -49,8 +49,8 @@
 	return !holdsOrReleased
 }
 
-// compare orders candidates, the better one first. What keeps a candidate from getting the job done counts first: groups that
-// it can't reach, a fault of its storage, earlier stalls with this job. Then comes what is merely preferable.
+// compare orders candidates, the better one first. Obstacles to completing the job come first: groups that the candidate
+// can't reach, storage that is not writable, earlier stalls on this job. The other criteria are preferences.
 func (s *selection) compare(job *Job, watch *holderWatch, a, b *Candidate) int {
 	x, y := &a.Report, &b.Report
 	return cmp.Or(
@@ -66,7 +66,7 @@
 	)
 }
 
-// countRequired counts the groups required by a job that are among those given.
+// countRequired counts how many of the groups that a job requires are in groups.
 func countRequired(job *Job, groups []uint64) (count int) {
 	for _, required := range job.RequiredGroups {
 		if slices.Contains(groups, required) {
--- a/internal/cluster/jobs/state_test.go
+++ b/internal/cluster/jobs/state_test.go
@@ -71,7 +71,8 @@
 
 func TestApprovals(t *testing.T) {
 	m := applyAll(t, Entry{Type: EntryCreate, Job: "w", JobKind: "k"}, Entry{Type: EntryAssign, Job: "w", Holder: "n1"}, Entry{Type: EntryApprove, Job: "w", Approval: &Approval{Action: "go"}})
-	// An operation uses the approval, is aborted, and the approval is there again; confirmed, it is gone.
+	// An operation uses the approval and is aborted: the job gets the approval back. Once an operation is confirmed, the
+	// approval is gone.
 	take := Entry{Type: EntryAnnounce, Job: "w", Token: 1, Operation: operation(1), Approval: &Approval{Action: "go"}}
 	require.Nil(t, m.Apply(take))
 	require.Nil(t, m.Jobs["w"].Approval)
@@ -79,13 +80,13 @@
 	require.Equal(t, "go", m.Jobs["w"].Approval.Action)
 	take.Operation = operation(2) // each announced operation has a number of its own
 	require.Nil(t, m.Apply(take))
-	// Rollback is approved while go is executed: it is for the step before, and still counts after it.
+	// A rollback is approved while the operation is executed. The approval names the earlier step and remains valid after it.
 	require.Nil(t, m.Apply(Entry{Type: EntryApprove, Job: "w", Approval: &Approval{Action: "rollback", Persistent: true}}))
 	require.Nil(t, m.Apply(Entry{Type: EntryConfirm, Job: "w", Token: 1, Operation: operation(2), State: []byte(`{}`)}))
 	require.Equal(t, uint64(1), m.Jobs["w"].Step)
 	require.Equal(t, "rollback", m.Jobs["w"].Approval.Action)
 	require.Equal(t, RejectAlreadyApproved, m.Apply(Entry{Type: EntryApprove, Job: "w", Approval: &Approval{Action: "go", Step: 1}}).Reason)
-	// A go that was approved while an operation of the step was open does not count for the next step.
+	// A "go" that was approved while an operation of the step was open is not valid for the next step.
 	m = applyAll(t, Entry{Type: EntryCreate, Job: "w", JobKind: "k"}, Entry{Type: EntryAssign, Job: "w", Holder: "n1"}, Entry{Type: EntryAnnounce, Job: "w", Token: 1, Operation: operation(1)},
 		Entry{Type: EntryApprove, Job: "w", Approval: &Approval{Action: "go"}}, Entry{Type: EntryConfirm, Job: "w", Token: 1, Operation: operation(1)})
 	require.Nil(t, m.Jobs["w"].Approval)
@@ -111,8 +112,8 @@
 	}
 }
 
-// Whatever entries come in, in whatever order: tokens rise, only the present holder's entries count, and each number is
-// confirmed once.
+// For any sequence of entries: tokens never decrease, only entries of the current holder are accepted, and each operation
+// number is confirmed at most once.
 func TestTokensNeverDecrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &StateMachine{}
@@ -124,7 +125,7 @@
 				Type: rapid.SampledFrom([]EntryType{EntryCreate, EntryAssign, EntryAssign, EntryRelease, EntryAnnounce, EntryAnnounce, EntryConfirm, EntryAbort, EntryApprove, EntryRaiseToken, EntryAuthorize}).Draw(t, "op"), Job: name, JobKind: "k", Holder: "n1",
 				Token: FencingToken(rapid.IntRange(0, 9).Draw(t, "token")), Step: uint64(rapid.IntRange(0, 4).Draw(t, "step")), Approval: nil,
 			}
-			if w := m.Jobs[name]; w != nil && rapid.Bool().Draw(t, "apt") { // else hardly anything is accepted
+			if w := m.Jobs[name]; w != nil && rapid.Bool().Draw(t, "apt") { // random values alone would hardly ever be accepted
 				e.Token, e.Step, n = w.Token, w.Step, w.NextOperationNumber()
 				if w.Operation != nil {
 					n = w.Operation.Number
@@ -162,7 +163,8 @@
 	})
 }
 
-// A rollback that an operation had used is still there when that operation is aborted, whatever was approved meanwhile.
+// If an operation that used a rollback approval is aborted, the job gets that approval back, even if another one was given in
+// the meantime.
 func TestPersistentApprovalSurvivesAbort(t *testing.T) {
 	var m StateMachine
 	for _, e := range []Entry{
@@ -178,7 +180,7 @@
 	require.Equal(t, &Approval{Action: "rollback", Persistent: true}, m.Jobs["w"].Approval)
 }
 
-// A change that arrives after its operation was aborted is rejected, though the holder is still the same.
+// A change that arrives after its operation was aborted is rejected, even if the holder is still the same.
 func TestAuthorizeNeedsOpenOperation(t *testing.T) {
 	var m StateMachine
 	authorize := Entry{Type: EntryAuthorize, Job: "w", Token: 1, Operation: &Operation{Number: 1, Name: "switch"}}
