--- a/internal/cluster/jobs/executor/executor_test.go
+++ b/internal/cluster/jobs/executor/executor_test.go
@@ -106,10 +106,10 @@
 }
 
 func result(w *jobs.Job) jobs.Result {
-	var want, is int
-	_ = json.Unmarshal(w.Spec, &want)
-	_ = json.Unmarshal(w.State, &is)
-	return jobs.Result{State: []byte(fmt.Sprint(is + 1)), Finished: is+1 >= want}
+	var wanted, written int
+	_ = json.Unmarshal(w.Spec, &wanted)
+	_ = json.Unmarshal(w.State, &written)
+	return jobs.Result{State: []byte(fmt.Sprint(written + 1)), Finished: written+1 >= wanted}
 }
 
 func (c *rowHandler) Recover(_ context.Context, w *jobs.Job, d *jobs.Operation) (bool, jobs.Result, error) {
@@ -126,13 +126,13 @@
 	return false, jobs.Result{}, nil
 }
 
-func start(t *testing.T, w *cluster, name string, instance uint64, k jobs.Handler) *Executor {
+func start(t *testing.T, w *cluster, name string, incarnation uint64, handler jobs.Handler) *Executor {
 	w.mu.Lock() // other executors read it meanwhile
 	w.leaseUntil[name] = 1e18
 	w.mu.Unlock()
-	d := Start(Options{Name: name, Incarnation: instance, Handlers: map[string]jobs.Handler{"k": k}, Log: clusterLog{w, name}, Clock: clock.System(), PollMillis: 4, OperationMillis: 2000})
-	t.Cleanup(d.Stop)
-	return d
+	executor := Start(Options{Name: name, Incarnation: incarnation, Handlers: map[string]jobs.Handler{"k": handler}, Log: clusterLog{w, name}, Clock: clock.System(), PollMillis: 4, OperationMillis: 2000})
+	t.Cleanup(executor.Stop)
+	return executor
 }
 
 func newCluster(t *testing.T, rows int) *cluster {
@@ -174,19 +174,19 @@
 // When the first one resumes and executes it, the host must reject it.
 func TestHolderPausedDuringOperation(t *testing.T) {
 	w := newCluster(t, 20)
-	pausedNow, resume := make(chan struct{}), make(chan struct{})
+	paused, resume := make(chan struct{}), make(chan struct{})
 	k := &rowHandler{cluster: w, beforeExecute: func(d *jobs.Operation) {
 		if d.Number == 5 {
-			close(pausedNow)
+			close(paused)
 			<-resume
 		}
 	}}
 	start(t, w, "a", 1, k)
-	<-pausedNow
+	<-paused
 	view := clusterLog{w, "a"}
-	was, _ := view.Jobs()
+	jobsBefore, _ := view.Jobs()
 	w.mu.Lock()
-	w.paused["a"] = maps.Clone(was)
+	w.paused["a"] = maps.Clone(jobsBefore)
 	w.mu.Unlock()
 	require.NoError(t, w.propose(jobs.Entry{Type: jobs.EntryAssign, Job: "w", Token: 1, Holder: "b", Incarnation: 2}))
 	start(t, w, "b", 2, &rowHandler{cluster: w})
@@ -204,17 +204,17 @@
 	w.mu.Lock()
 	w.leaseUntil["a"] = 0
 	w.mu.Unlock()
-	var at uint64
+	var step uint64
 	require.Eventually(t, func() bool { // until the step no longer changes
-		was := at
-		at = w.job().Step
+		was := step
+		step = w.job().Step
 		time.Sleep(20 * time.Millisecond)
-		return w.job().Step == at && at == was
+		return w.job().Step == step && step == was
 	}, 5*time.Second, time.Millisecond)
 	w.mu.Lock()
 	w.leaseUntil["a"] = 1e18
 	w.mu.Unlock()
-	require.Eventually(t, func() bool { return w.job().Step > at }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return w.job().Step > step }, 5*time.Second, time.Millisecond)
 }
 
 func TestDrainReleasesJobs(t *testing.T) {
--- a/internal/cluster/jobs/noop/golden_test.go
+++ b/internal/cluster/jobs/noop/golden_test.go
@@ -34,18 +34,18 @@
 func TestGoldenEncodings(t *testing.T) {
 	spec := Spec{Database: "orders", Groups: []uint64{1, 2}, Operations: 20, IntervalMillis: 500.5}
 	st := state{PreparedGroups: 2, Written: 7, WrittenAtMillis: 1234.5}
-	a, err := json.Marshal(spec)
+	encodedSpec, err := json.Marshal(spec)
 	require.NoError(t, err)
-	b, err := json.Marshal(st)
+	encodedState, err := json.Marshal(st)
 	require.NoError(t, err)
-	text := KindName + "\n" + string(a) + "\n" + string(b) + "\n"
+	text := KindName + "\n" + string(encodedSpec) + "\n" + string(encodedState) + "\n"
 	want := golden(t, "encodings.txt", text)
 	require.Equal(t, want, text)
 	lines := strings.Split(want, "\n")
-	p, s, err := decode(&jobs.Job{Spec: []byte(lines[1]), State: []byte(lines[2])})
+	decodedSpec, decodedState, err := decode(&jobs.Job{Spec: []byte(lines[1]), State: []byte(lines[2])})
 	require.NoError(t, err)
-	require.Equal(t, spec, p)
-	require.Equal(t, st, s)
+	require.Equal(t, spec, decodedSpec)
+	require.Equal(t, st, decodedState)
 }
 
 // A whole run: the announced operations, the confirmed states, and the rows on the database host afterwards. The random part of
@@ -59,31 +59,31 @@
 	client := &fencing.Client{User: "ashstand", Hosts: func(uint64) []fencing.Host {
 		return []fencing.Host{{Name: "h1", Address: h.Address, Group: 1, Primary: true}}
 	}}
-	k := &Handler{Client: client, Now: func() float64 { return 1000 }}
+	handler := &Handler{Client: client, Now: func() float64 { return 1000 }}
 	spec, err := json.Marshal(Spec{Database: "orders", Groups: []uint64{1}, Operations: 3, IntervalMillis: 10})
 	require.NoError(t, err)
-	w := &jobs.Job{Name: "d1", Kind: KindName, Spec: spec, Token: 17}
+	job := &jobs.Job{Name: "d1", Kind: KindName, Spec: spec, Token: 17}
 	var out bytes.Buffer
-	for !w.Finished {
-		if w.Step == 3 {
-			w.Approval = &jobs.Approval{Action: "stop", Step: 3, Persistent: true}
+	for !job.Finished {
+		if job.Step == 3 {
+			job.Approval = &jobs.Approval{Action: "stop", Step: 3, Persistent: true}
 		}
-		step := k.Next(1000, w, nil)
-		fmt.Fprintf(&out, "next %q wait %v word %v", step.OperationName, step.RetryAfterMillis, step.Approval)
-		for _, o := range step.Options {
+		decision := handler.Next(1000, job, nil)
+		fmt.Fprintf(&out, "next %q wait %v word %v", decision.OperationName, decision.RetryAfterMillis, decision.Approval)
+		for _, o := range decision.Options {
 			fmt.Fprintf(&out, " option %q lasting %v", o.Action, o.Persistent)
 		}
 		fmt.Fprintln(&out)
-		if step.OperationName == "" {
-			step = k.Next(1000+step.RetryAfterMillis, w, nil)
+		if decision.OperationName == "" {
+			decision = handler.Next(1000+decision.RetryAfterMillis, job, nil)
 		}
-		d := &jobs.Operation{Number: w.NextOperationNumber(), Name: step.OperationName, Token: 17}
-		p, err := k.Execute(t.Context(), w, d)
+		operation := &jobs.Operation{Number: job.NextOperationNumber(), Name: decision.OperationName, Token: 17}
+		result, err := handler.Execute(t.Context(), job, operation)
 		require.NoError(t, err)
-		done, found, err := k.Recover(t.Context(), w, d)
+		done, found, err := handler.Recover(t.Context(), job, operation)
 		require.NoError(t, err)
-		fmt.Fprintf(&out, "%s: state %s ended %v %q; found %v %s\n", d.ID(w.Name), p.State, p.Finished, p.Reason, done, found.State)
-		w.State, w.Finished, w.Step = p.State, p.Finished, w.Step+1
+		fmt.Fprintf(&out, "%s: state %s ended %v %q; found %v %s\n", operation.ID(job.Name), result.State, result.Finished, result.Reason, done, found.State)
+		job.State, job.Finished, job.Step = result.State, result.Finished, job.Step+1
 	}
 	conn, _, err := client.ConnectPrimary(t.Context(), 1, "orders")
 	require.NoError(t, err)
@@ -91,8 +91,8 @@
 	rows, _, err := fencing.Exec(t.Context(), conn, "SELECT ref, payload FROM ashstand.acts ORDER BY ref")
 	require.NoError(t, err)
 	for _, r := range rows {
-		id, drawn, _ := strings.Cut(r[0], "#")
-		require.Len(t, drawn, 16)
+		id, suffix, _ := strings.Cut(r[0], "#")
+		require.Len(t, suffix, 16)
 		fmt.Fprintf(&out, "row %q by token %s\n", id, r[1])
 	}
 	rows, _, err = fencing.Exec(t.Context(), conn, "SELECT work, token, closed, home FROM ashstand.fence")
--- a/internal/cluster/jobs/scheduler_test.go
+++ b/internal/cluster/jobs/scheduler_test.go
@@ -18,9 +18,9 @@
 	}
 	create := []Entry{{Type: EntryCreate, Job: "w", JobKind: "k", RequiredGroups: []uint64{1, 2}}}
 	for _, c := range []struct {
-		name  string
-		cands []Candidate
-		want  string
+		name       string
+		candidates []Candidate
+		want       string
 	}{
 		{"first of equals", []Candidate{with("n2", nil), with("n1", nil)}, "n1"},
 		{"reaches more groups", []Candidate{with("n1", func(r *Report) { r.ReachableGroups = []uint64{1} }), with("n2", nil)}, "n2"},
@@ -36,7 +36,7 @@
 		{"no candidate", nil, ""},
 	} {
 		m := applyAll(t, create...)
-		out := NewScheduler(cfg).Tick(100, m, c.cands, false)
+		out := NewScheduler(cfg).Tick(100, m, c.candidates, false)
 		if c.want == "" {
 			require.Empty(t, out, c.name)
 			continue
@@ -54,8 +54,8 @@
 func TestSchedulerReplacesHolder(t *testing.T) {
 	cfg := SchedulerConfig{StallMillis: 1000, MinTenureMillis: 200, BackoffMillis: 2000, SettledMillis: 0, RetryMillis: 50}
 	m := applyAll(t, Entry{Type: EntryCreate, Job: "w", JobKind: "k"})
-	d := NewScheduler(cfg)
-	cands := []Candidate{{Name: "n1", Incarnation: 1, LeaseUntil: 1e9}, {Name: "n2", Incarnation: 2, LeaseUntil: 1e9}}
+	scheduler := NewScheduler(cfg)
+	candidates := []Candidate{{Name: "n1", Incarnation: 1, LeaseUntil: 1e9}, {Name: "n2", Incarnation: 2, LeaseUntil: 1e9}}
 	progress := map[string]uint64{}
 	now := 0.0
 	tick := func(to float64, progresses bool) {
@@ -63,18 +63,18 @@
 			if w := m.Jobs["w"]; progresses && w.Holder != "" {
 				progress[w.Holder]++
 			}
-			for i := range cands {
-				cands[i].Report = Report{Kinds: []string{"k"}, AcceptsJobs: true, Healthy: true, Progress: map[string]uint64{"w": progress[cands[i].Name]}}
+			for i := range candidates {
+				candidates[i].Report = Report{Kinds: []string{"k"}, AcceptsJobs: true, Healthy: true, Progress: map[string]uint64{"w": progress[candidates[i].Name]}}
 			}
-			for _, e := range d.Tick(now, m, cands, false) {
+			for _, e := range scheduler.Tick(now, m, candidates, false) {
 				require.Nil(t, m.Apply(e))
 			}
 		}
 	}
 	tick(5000, true)
-	w := *m.Jobs["w"]
-	require.Equal(t, 1, w.HolderCount, "a holder with progress stays")
-	require.Equal(t, "n1", w.Holder)
+	job := *m.Jobs["w"]
+	require.Equal(t, 1, job.HolderCount, "a holder with progress stays")
+	require.Equal(t, "n1", job.Holder)
 	// The holder keeps its lease but makes no progress: after StallMillis the job is assigned to another candidate, and the
 	// first one is not eligible for a while.
 	stalled := now
@@ -87,8 +87,8 @@
 	require.Equal(t, 2, m.Jobs["w"].HolderCount, "the second one makes progress")
 	// The second holder's process ends: the job goes back to the first, although it stalled before. A new leader waits until
 	// it knows the leases.
-	cands = cands[:1]
-	require.Empty(t, d.Tick(now, m, cands, true))
+	candidates = candidates[:1]
+	require.Empty(t, scheduler.Tick(now, m, candidates, true))
 	tick(now+100, true)
 	require.Equal(t, "n1", m.Jobs["w"].Holder)
 	// The only candidate keeps the job even without progress.
@@ -96,11 +96,11 @@
 	require.Equal(t, 3, m.Jobs["w"].HolderCount)
 	// The holder releases the job because its process ends. It is not assigned the job again, although its report still says
 	// that it accepts jobs; the next process of the same name is.
-	w = *m.Jobs["w"]
-	require.Nil(t, m.Apply(Entry{Type: EntryRelease, Job: "w", Token: w.Token}))
+	job = *m.Jobs["w"]
+	require.Nil(t, m.Apply(Entry{Type: EntryRelease, Job: "w", Token: job.Token}))
 	tick(now+300, true)
 	require.Empty(t, m.Jobs["w"].Holder)
-	cands[0].Incarnation = 3
+	candidates[0].Incarnation = 3
 	tick(now+100, true)
 	require.Equal(t, "n1", m.Jobs["w"].Holder)
 	// A host has seen a higher token: the job is assigned again with a token above that.
--- a/internal/cluster/jobs/state_test.go
+++ b/internal/cluster/jobs/state_test.go
@@ -22,12 +22,12 @@
 func operation(n uint64) *Operation { return &Operation{Number: n, Name: fmt.Sprint("d", n)} }
 
 func TestApplyRejects(t *testing.T) {
-	and := func(before []Entry, e Entry) []Entry { return append(slices.Clone(before), e) }
+	with := func(before []Entry, e Entry) []Entry { return append(slices.Clone(before), e) }
 	assigned := []Entry{{Type: EntryCreate, Job: "w", JobKind: "k"}, {Type: EntryAssign, Job: "w", Holder: "n1", Incarnation: 1}}
-	open := and(assigned, Entry{Type: EntryAnnounce, Job: "w", Token: 1, Operation: operation(1)})
-	second := and(open, Entry{Type: EntryAssign, Job: "w", Token: 1, Holder: "n2", Incarnation: 2})
-	approved := and(assigned, Entry{Type: EntryApprove, Job: "w", Approval: &Approval{Action: "go", By: "ann"}})
-	finished := and(open, Entry{Type: EntryConfirm, Job: "w", Token: 1, Operation: operation(1), Finished: true})
+	open := with(assigned, Entry{Type: EntryAnnounce, Job: "w", Token: 1, Operation: operation(1)})
+	second := with(open, Entry{Type: EntryAssign, Job: "w", Token: 1, Holder: "n2", Incarnation: 2})
+	approved := with(assigned, Entry{Type: EntryApprove, Job: "w", Approval: &Approval{Action: "go", By: "ann"}})
+	finished := with(open, Entry{Type: EntryConfirm, Job: "w", Token: 1, Operation: operation(1), Finished: true})
 	for _, c := range []struct {
 		name   string
 		before []Entry
@@ -45,10 +45,10 @@
 		{"no holder", assigned[:1], Entry{Type: EntryAnnounce, Job: "w", Operation: operation(1)}, RejectNotHolder},
 		{"second operation", open, Entry{Type: EntryAnnounce, Job: "w", Token: 1, Operation: operation(2)}, RejectOperationOpen},
 		{"operation number skipped", assigned, Entry{Type: EntryAnnounce, Job: "w", Token: 1, Operation: operation(2)}, RejectOperationNotOpen},
-		{"operation for an earlier step", and(open, Entry{Type: EntryConfirm, Job: "w", Token: 1, Operation: operation(1)}), Entry{Type: EntryAnnounce, Job: "w", Token: 1, Operation: operation(1)}, RejectWrongStep},
+		{"operation for an earlier step", with(open, Entry{Type: EntryConfirm, Job: "w", Token: 1, Operation: operation(1)}), Entry{Type: EntryAnnounce, Job: "w", Token: 1, Operation: operation(1)}, RejectWrongStep},
 		{"confirms nothing", assigned, Entry{Type: EntryConfirm, Job: "w", Token: 1, Operation: operation(1)}, RejectOperationNotOpen},
 		{"confirms another operation", open, Entry{Type: EntryConfirm, Job: "w", Token: 1, Operation: &Operation{Number: 1, Name: "x"}}, RejectOperationNotOpen},
-		{"approval for an earlier step", and(open, Entry{Type: EntryConfirm, Job: "w", Token: 1, Operation: operation(1)}), Entry{Type: EntryApprove, Job: "w", Approval: &Approval{Action: "go"}}, RejectWrongStep},
+		{"approval for an earlier step", with(open, Entry{Type: EntryConfirm, Job: "w", Token: 1, Operation: operation(1)}), Entry{Type: EntryApprove, Job: "w", Approval: &Approval{Action: "go"}}, RejectWrongStep},
 		{"two approvals for one step", approved, Entry{Type: EntryApprove, Job: "w", Approval: &Approval{Action: "rollback"}}, RejectAlreadyApproved},
 		{"operation uses a missing approval", assigned, Entry{Type: EntryAnnounce, Job: "w", Token: 1, Operation: operation(1), Approval: &Approval{Action: "go"}}, RejectWrongStep},
 		{"job finished", finished, Entry{Type: EntryAssign, Job: "w", Token: 1, Holder: "n2"}, RejectJobFinished},
@@ -58,14 +58,14 @@
 		{"spec too long", nil, Entry{Type: EntryCreate, Job: "w", JobKind: "k", Spec: make([]byte, maxPayloadBytes+1)}, RejectLimitExceeded},
 	} {
 		m := applyAll(t, c.before...)
-		was, _ := json.Marshal(m)
+		stateBefore, _ := json.Marshal(m)
 		r := m.Apply(c.e)
 		require.NotNil(t, r, c.name)
 		require.Equal(t, c.want, r.Reason, c.name)
 		require.NotEmpty(t, r.Advice(), c.name)
 		require.NotContains(t, r.Error(), "%!", c.name)
-		now, _ := json.Marshal(m)
-		require.Equal(t, string(was), string(now), "%s: a rejected entry changes nothing", c.name)
+		stateAfter, _ := json.Marshal(m)
+		require.Equal(t, string(stateBefore), string(stateAfter), "%s: a rejected entry changes nothing", c.name)
 	}
 }
 
@@ -73,13 +73,13 @@
 	m := applyAll(t, Entry{Type: EntryCreate, Job: "w", JobKind: "k"}, Entry{Type: EntryAssign, Job: "w", Holder: "n1"}, Entry{Type: EntryApprove, Job: "w", Approval: &Approval{Action: "go"}})
 	// An operation uses the approval and is aborted: the job gets the approval back. Once an operation is confirmed, the
 	// approval is gone.
-	take := Entry{Type: EntryAnnounce, Job: "w", Token: 1, Operation: operation(1), Approval: &Approval{Action: "go"}}
-	require.Nil(t, m.Apply(take))
+	announce := Entry{Type: EntryAnnounce, Job: "w", Token: 1, Operation: operation(1), Approval: &Approval{Action: "go"}}
+	require.Nil(t, m.Apply(announce))
 	require.Nil(t, m.Jobs["w"].Approval)
 	require.Nil(t, m.Apply(Entry{Type: EntryAbort, Job: "w", Token: 1, Operation: operation(1)}))
 	require.Equal(t, "go", m.Jobs["w"].Approval.Action)
-	take.Operation = operation(2) // each announced operation has a number of its own
-	require.Nil(t, m.Apply(take))
+	announce.Operation = operation(2) // each announced operation has a number of its own
+	require.Nil(t, m.Apply(announce))
 	// A rollback is approved while the operation is executed. The approval names the earlier step and remains valid after it.
 	require.Nil(t, m.Apply(Entry{Type: EntryApprove, Job: "w", Approval: &Approval{Action: "rollback", Persistent: true}}))
 	require.Nil(t, m.Apply(Entry{Type: EntryConfirm, Job: "w", Token: 1, Operation: operation(2), State: []byte(`{}`)}))
@@ -134,25 +134,25 @@
 			if e.Operation = operation(n); e.Type == EntryApprove {
 				e.Approval = &Approval{Action: "go", Step: e.Step}
 			}
-			high := m.HighestToken
-			var was FencingToken
+			highestBefore := m.HighestToken
+			var tokenBefore FencingToken
 			if w := m.Jobs[name]; w != nil {
-				was = w.Token
+				tokenBefore = w.Token
 			}
 			r := m.Apply(e)
-			require.GreaterOrEqual(t, m.HighestToken, high)
+			require.GreaterOrEqual(t, m.HighestToken, highestBefore)
 			if r != nil {
 				continue
 			}
 			switch e.Type {
 			case EntryAssign:
-				require.Greater(t, m.Jobs[name].Token, high)
+				require.Greater(t, m.Jobs[name].Token, highestBefore)
 				for _, o := range tokens {
 					require.Greater(t, m.Jobs[name].Token, o)
 				}
 				tokens[fmt.Sprint(i)] = m.Jobs[name].Token
 			case EntryAnnounce, EntryConfirm, EntryAbort, EntryRelease, EntryAuthorize:
-				require.Equal(t, was, e.Token)
+				require.Equal(t, tokenBefore, e.Token)
 			}
 			if e.Type == EntryConfirm {
 				k := e.Operation.ID(name)
