--- a/internal/cluster/jobs/executor/executor_test.go
+++ b/internal/cluster/jobs/executor/executor_test.go
@@ -16,15 +16,15 @@
 	"ashstand/internal/cluster/jobs"
 )
 
-// cluster is a log that answers at once, and one database host with a fence.
+// cluster is a fake log without delay, together with one fake database host that checks fencing tokens.
 type cluster struct {
 	mu         sync.Mutex
 	machine    jobs.StateMachine
-	leaseUntil map[string]float64 // of leases
+	leaseUntil map[string]float64 // end of the lease, by process
 	token      jobs.FencingToken
 	rows       []string // operations that the host has executed
 	fenced     int
-	paused     map[string]map[string]jobs.Job // what a process that is paused sees of the log
+	paused     map[string]map[string]jobs.Job // the outdated jobs that a paused process sees, by process
 }
 
 func (w *cluster) propose(e jobs.Entry) error {
@@ -64,11 +64,11 @@
 func (l clusterLog) Propose(_ context.Context, e jobs.Entry) error { return l.propose(e) }
 func (l clusterLog) SetReport(jobs.Report)                         {}
 
-// count writes rows leaseUntil there are as many as its spec says.
+// rowHandler writes one row per operation until there are as many as its spec says.
 type rowHandler struct {
 	*cluster
-	beforeExecute func(d *jobs.Operation)       // before the host is asked
-	afterExecute  func(d *jobs.Operation) error // after the host has executed it, before its answer
+	beforeExecute func(d *jobs.Operation)       // called before the host executes the operation
+	afterExecute  func(d *jobs.Operation) error // called after that; its error replaces the answer
 }
 
 func (c *rowHandler) Next(_ float64, w *jobs.Job, _ any) jobs.Decision {
@@ -106,10 +106,10 @@
 }
 
 func result(w *jobs.Job) jobs.Result {
-	var want, is int
-	_ = json.Unmarshal(w.Spec, &want)
-	_ = json.Unmarshal(w.State, &is)
-	return jobs.Result{State: []byte(fmt.Sprint(is + 1)), Finished: is+1 >= want}
+	var wanted, written int
+	_ = json.Unmarshal(w.Spec, &wanted)
+	_ = json.Unmarshal(w.State, &written)
+	return jobs.Result{State: []byte(fmt.Sprint(written + 1)), Finished: written+1 >= wanted}
 }
 
 func (c *rowHandler) Recover(_ context.Context, w *jobs.Job, d *jobs.Operation) (bool, jobs.Result, error) {
@@ -126,13 +126,13 @@
 	return false, jobs.Result{}, nil
 }
 
-func start(t *testing.T, w *cluster, name string, instance uint64, k jobs.Handler) *Executor {
+func start(t *testing.T, w *cluster, name string, incarnation uint64, handler jobs.Handler) *Executor {
 	w.mu.Lock() // other executors read it meanwhile
 	w.leaseUntil[name] = 1e18
 	w.mu.Unlock()
-	d := Start(Options{Name: name, Incarnation: instance, Handlers: map[string]jobs.Handler{"k": k}, Log: clusterLog{w, name}, Clock: clock.System(), PollMillis: 4, OperationMillis: 2000})
-	t.Cleanup(d.Stop)
-	return d
+	executor := Start(Options{Name: name, Incarnation: incarnation, Handlers: map[string]jobs.Handler{"k": handler}, Log: clusterLog{w, name}, Clock: clock.System(), PollMillis: 4, OperationMillis: 2000})
+	t.Cleanup(executor.Stop)
+	return executor
 }
 
 func newCluster(t *testing.T, rows int) *cluster {
@@ -155,7 +155,7 @@
 }
 
 func TestOperationsInDoubtAreRecovered(t *testing.T) {
-	// Every third answer is lost afterExecute the act, every fifth deed never gets there: each row is there once.
+	// Every third answer is lost after the host has executed the operation. Each row must still be written exactly once.
 	w := newCluster(t, 40)
 	n := 0
 	k := &rowHandler{cluster: w}
@@ -170,23 +170,23 @@
 	require.Zero(t, w.job().AbortedOperations)
 }
 
-// The holder is paused before it executes an operation, for longer than its lease; another one aborts the operation, and goes
-// on. The first one resumes and executes it.
+// The holder is paused before it executes an operation, and another holder is assigned, aborts the operation and continues.
+// When the first one resumes and executes it, the host must reject it.
 func TestHolderPausedDuringOperation(t *testing.T) {
 	w := newCluster(t, 20)
-	pausedNow, resume := make(chan struct{}), make(chan struct{})
+	paused, resume := make(chan struct{}), make(chan struct{})
 	k := &rowHandler{cluster: w, beforeExecute: func(d *jobs.Operation) {
 		if d.Number == 5 {
-			close(pausedNow)
+			close(paused)
 			<-resume
 		}
 	}}
 	start(t, w, "a", 1, k)
-	<-pausedNow
+	<-paused
 	view := clusterLog{w, "a"}
-	was, _ := view.Jobs()
+	jobsBefore, _ := view.Jobs()
 	w.mu.Lock()
-	w.paused["a"] = maps.Clone(was)
+	w.paused["a"] = maps.Clone(jobsBefore)
 	w.mu.Unlock()
 	require.NoError(t, w.propose(jobs.Entry{Type: jobs.EntryAssign, Job: "w", Token: 1, Holder: "b", Incarnation: 2}))
 	start(t, w, "b", 2, &rowHandler{cluster: w})
@@ -204,17 +204,17 @@
 	w.mu.Lock()
 	w.leaseUntil["a"] = 0
 	w.mu.Unlock()
-	var at uint64
-	require.Eventually(t, func() bool { // until nothing changes any more
-		was := at
-		at = w.job().Step
+	var step uint64
+	require.Eventually(t, func() bool { // until the step no longer changes
+		was := step
+		step = w.job().Step
 		time.Sleep(20 * time.Millisecond)
-		return w.job().Step == at && at == was
+		return w.job().Step == step && step == was
 	}, 5*time.Second, time.Millisecond)
 	w.mu.Lock()
 	w.leaseUntil["a"] = 1e18
 	w.mu.Unlock()
-	require.Eventually(t, func() bool { return w.job().Step > at }, 5*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return w.job().Step > step }, 5*time.Second, time.Millisecond)
 }
 
 func TestDrainReleasesJobs(t *testing.T) {
@@ -229,7 +229,7 @@
 	require.Nil(t, got.Operation, "the open operation was completed")
 }
 
-// A host has seen a higher token than the log: the holder reports it, and the job is assigned above it.
+// A host has seen a higher token than the log has: the holder reports it, and the job is assigned again with a higher one.
 func TestHostHasSeenHigherToken(t *testing.T) {
 	w := newCluster(t, 3)
 	w.token = 50
@@ -240,7 +240,7 @@
 	require.Equal(t, jobs.FencingToken(51), w.job().Token)
 }
 
-// Stop returns once the job's goroutine has ended, also while the handler ignores that its context has.
+// Stop waits until the job's goroutine has ended, even if the handler ignores that its context has been cancelled.
 func TestStopWaitsForJobs(t *testing.T) {
 	w := newCluster(t, 10)
 	executing, proceed := make(chan struct{}), make(chan struct{})
--- a/internal/cluster/jobs/state_test.go
+++ b/internal/cluster/jobs/state_test.go
@@ -22,12 +22,12 @@
 func operation(n uint64) *Operation { return &Operation{Number: n, Name: fmt.Sprint("d", n)} }
 
 func TestApplyRejects(t *testing.T) {
-	and := func(before []Entry, e Entry) []Entry { return append(slices.Clone(before), e) }
+	with := func(before []Entry, e Entry) []Entry { return append(slices.Clone(before), e) }
 	assigned := []Entry{{Type: EntryCreate, Job: "w", JobKind: "k"}, {Type: EntryAssign, Job: "w", Holder: "n1", Incarnation: 1}}
-	open := and(assigned, Entry{Type: EntryAnnounce, Job: "w", Token: 1, Operation: operation(1)})
-	second := and(open, Entry{Type: EntryAssign, Job: "w", Token: 1, Holder: "n2", Incarnation: 2})
-	approved := and(assigned, Entry{Type: EntryApprove, Job: "w", Approval: &Approval{Action: "go", By: "ann"}})
-	finished := and(open, Entry{Type: EntryConfirm, Job: "w", Token: 1, Operation: operation(1), Finished: true})
+	open := with(assigned, Entry{Type: EntryAnnounce, Job: "w", Token: 1, Operation: operation(1)})
+	second := with(open, Entry{Type: EntryAssign, Job: "w", Token: 1, Holder: "n2", Incarnation: 2})
+	approved := with(assigned, Entry{Type: EntryApprove, Job: "w", Approval: &Approval{Action: "go", By: "ann"}})
+	finished := with(open, Entry{Type: EntryConfirm, Job: "w", Token: 1, Operation: operation(1), Finished: true})
 	for _, c := range []struct {
 		name   string
 		before []Entry
@@ -45,10 +45,10 @@
 		{"no holder", assigned[:1], Entry{Type: EntryAnnounce, Job: "w", Operation: operation(1)}, RejectNotHolder},
 		{"second operation", open, Entry{Type: EntryAnnounce, Job: "w", Token: 1, Operation: operation(2)}, RejectOperationOpen},
 		{"operation number skipped", assigned, Entry{Type: EntryAnnounce, Job: "w", Token: 1, Operation: operation(2)}, RejectOperationNotOpen},
-		{"operation for an earlier step", and(open, Entry{Type: EntryConfirm, Job: "w", Token: 1, Operation: operation(1)}), Entry{Type: EntryAnnounce, Job: "w", Token: 1, Operation: operation(1)}, RejectWrongStep},
+		{"operation for an earlier step", with(open, Entry{Type: EntryConfirm, Job: "w", Token: 1, Operation: operation(1)}), Entry{Type: EntryAnnounce, Job: "w", Token: 1, Operation: operation(1)}, RejectWrongStep},
 		{"confirms nothing", assigned, Entry{Type: EntryConfirm, Job: "w", Token: 1, Operation: operation(1)}, RejectOperationNotOpen},
 		{"confirms another operation", open, Entry{Type: EntryConfirm, Job: "w", Token: 1, Operation: &Operation{Number: 1, Name: "x"}}, RejectOperationNotOpen},
-		{"approval for an earlier step", and(open, Entry{Type: EntryConfirm, Job: "w", Token: 1, Operation: operation(1)}), Entry{Type: EntryApprove, Job: "w", Approval: &Approval{Action: "go"}}, RejectWrongStep},
+		{"approval for an earlier step", with(open, Entry{Type: EntryConfirm, Job: "w", Token: 1, Operation: operation(1)}), Entry{Type: EntryApprove, Job: "w", Approval: &Approval{Action: "go"}}, RejectWrongStep},
 		{"two approvals for one step", approved, Entry{Type: EntryApprove, Job: "w", Approval: &Approval{Action: "rollback"}}, RejectAlreadyApproved},
 		{"operation uses a missing approval", assigned, Entry{Type: EntryAnnounce, Job: "w", Token: 1, Operation: operation(1), Approval: &Approval{Action: "go"}}, RejectWrongStep},
 		{"job finished", finished, Entry{Type: EntryAssign, Job: "w", Token: 1, Holder: "n2"}, RejectJobFinished},
@@ -58,34 +58,35 @@
 		{"spec too long", nil, Entry{Type: EntryCreate, Job: "w", JobKind: "k", Spec: make([]byte, maxPayloadBytes+1)}, RejectLimitExceeded},
 	} {
 		m := applyAll(t, c.before...)
-		was, _ := json.Marshal(m)
+		stateBefore, _ := json.Marshal(m)
 		r := m.Apply(c.e)
 		require.NotNil(t, r, c.name)
 		require.Equal(t, c.want, r.Reason, c.name)
 		require.NotEmpty(t, r.Advice(), c.name)
 		require.NotContains(t, r.Error(), "%!", c.name)
-		now, _ := json.Marshal(m)
-		require.Equal(t, string(was), string(now), "%s: a rejected entry changes nothing", c.name)
+		stateAfter, _ := json.Marshal(m)
+		require.Equal(t, string(stateBefore), string(stateAfter), "%s: a rejected entry changes nothing", c.name)
 	}
 }
 
 func TestApprovals(t *testing.T) {
 	m := applyAll(t, Entry{Type: EntryCreate, Job: "w", JobKind: "k"}, Entry{Type: EntryAssign, Job: "w", Holder: "n1"}, Entry{Type: EntryApprove, Job: "w", Approval: &Approval{Action: "go"}})
-	// An operation uses the approval, is aborted, and the approval is there again; confirmed, it is gone.
-	take := Entry{Type: EntryAnnounce, Job: "w", Token: 1, Operation: operation(1), Approval: &Approval{Action: "go"}}
-	require.Nil(t, m.Apply(take))
+	// An operation uses the approval and is aborted: the job gets the approval back. Once an operation is confirmed, the
+	// approval is gone.
+	announce := Entry{Type: EntryAnnounce, Job: "w", Token: 1, Operation: operation(1), Approval: &Approval{Action: "go"}}
+	require.Nil(t, m.Apply(announce))
 	require.Nil(t, m.Jobs["w"].Approval)
 	require.Nil(t, m.Apply(Entry{Type: EntryAbort, Job: "w", Token: 1, Operation: operation(1)}))
 	require.Equal(t, "go", m.Jobs["w"].Approval.Action)
-	take.Operation = operation(2) // each announced operation has a number of its own
-	require.Nil(t, m.Apply(take))
-	// Rollback is approved while go is executed: it is for the step before, and still counts after it.
+	announce.Operation = operation(2) // each announced operation has a number of its own
+	require.Nil(t, m.Apply(announce))
+	// A rollback is approved while the operation is executed. The approval names the earlier step and remains valid after it.
 	require.Nil(t, m.Apply(Entry{Type: EntryApprove, Job: "w", Approval: &Approval{Action: "rollback", Persistent: true}}))
 	require.Nil(t, m.Apply(Entry{Type: EntryConfirm, Job: "w", Token: 1, Operation: operation(2), State: []byte(`{}`)}))
 	require.Equal(t, uint64(1), m.Jobs["w"].Step)
 	require.Equal(t, "rollback", m.Jobs["w"].Approval.Action)
 	require.Equal(t, RejectAlreadyApproved, m.Apply(Entry{Type: EntryApprove, Job: "w", Approval: &Approval{Action: "go", Step: 1}}).Reason)
-	// A go that was approved while an operation of the step was open does not count for the next step.
+	// A "go" that was approved while an operation of the step was open is not valid for the next step.
 	m = applyAll(t, Entry{Type: EntryCreate, Job: "w", JobKind: "k"}, Entry{Type: EntryAssign, Job: "w", Holder: "n1"}, Entry{Type: EntryAnnounce, Job: "w", Token: 1, Operation: operation(1)},
 		Entry{Type: EntryApprove, Job: "w", Approval: &Approval{Action: "go"}}, Entry{Type: EntryConfirm, Job: "w", Token: 1, Operation: operation(1)})
 	require.Nil(t, m.Jobs["w"].Approval)
@@ -111,8 +112,8 @@
 	}
 }
 
-// Whatever entries come in, in whatever order: tokens rise, only the present holder's entries count, and each number is
-// confirmed once.
+// For any sequence of entries: tokens never decrease, only entries of the current holder are accepted, and each operation
+// number is confirmed at most once.
 func TestTokensNeverDecrease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &StateMachine{}
@@ -124,7 +125,7 @@
 				Type: rapid.SampledFrom([]EntryType{EntryCreate, EntryAssign, EntryAssign, EntryRelease, EntryAnnounce, EntryAnnounce, EntryConfirm, EntryAbort, EntryApprove, EntryRaiseToken, EntryAuthorize}).Draw(t, "op"), Job: name, JobKind: "k", Holder: "n1",
 				Token: FencingToken(rapid.IntRange(0, 9).Draw(t, "token")), Step: uint64(rapid.IntRange(0, 4).Draw(t, "step")), Approval: nil,
 			}
-			if w := m.Jobs[name]; w != nil && rapid.Bool().Draw(t, "apt") { // else hardly anything is accepted
+			if w := m.Jobs[name]; w != nil && rapid.Bool().Draw(t, "apt") { // random values alone would hardly ever be accepted
 				e.Token, e.Step, n = w.Token, w.Step, w.NextOperationNumber()
 				if w.Operation != nil {
 					n = w.Operation.Number
@@ -133,25 +134,25 @@
 			if e.Operation = operation(n); e.Type == EntryApprove {
 				e.Approval = &Approval{Action: "go", Step: e.Step}
 			}
-			high := m.HighestToken
-			var was FencingToken
+			highestBefore := m.HighestToken
+			var tokenBefore FencingToken
 			if w := m.Jobs[name]; w != nil {
-				was = w.Token
+				tokenBefore = w.Token
 			}
 			r := m.Apply(e)
-			require.GreaterOrEqual(t, m.HighestToken, high)
+			require.GreaterOrEqual(t, m.HighestToken, highestBefore)
 			if r != nil {
 				continue
 			}
 			switch e.Type {
 			case EntryAssign:
-				require.Greater(t, m.Jobs[name].Token, high)
+				require.Greater(t, m.Jobs[name].Token, highestBefore)
 				for _, o := range tokens {
 					require.Greater(t, m.Jobs[name].Token, o)
 				}
 				tokens[fmt.Sprint(i)] = m.Jobs[name].Token
 			case EntryAnnounce, EntryConfirm, EntryAbort, EntryRelease, EntryAuthorize:
-				require.Equal(t, was, e.Token)
+				require.Equal(t, tokenBefore, e.Token)
 			}
 			if e.Type == EntryConfirm {
 				k := e.Operation.ID(name)
@@ -162,7 +163,8 @@
 	})
 }
 
-// A rollback that an operation had used is still there when that operation is aborted, whatever was approved meanwhile.
+// If an operation that used a rollback approval is aborted, the job gets that approval back, even if another one was given in
+// the meantime.
 func TestPersistentApprovalSurvivesAbort(t *testing.T) {
 	var m StateMachine
 	for _, e := range []Entry{
@@ -178,7 +180,7 @@
 	require.Equal(t, &Approval{Action: "rollback", Persistent: true}, m.Jobs["w"].Approval)
 }
 
-// A change that arrives after its operation was aborted is rejected, though the holder is still the same.
+// A change that arrives after its operation was aborted is rejected, even if the holder is still the same.
 func TestAuthorizeNeedsOpenOperation(t *testing.T) {
 	var m StateMachine
 	authorize := Entry{Type: EntryAuthorize, Job: "w", Token: 1, Operation: &Operation{Number: 1, Name: "switch"}}
