--- a/internal/cluster/migration/apply.go
+++ b/internal/cluster/migration/apply.go
@@ -6,46 +6,46 @@
 	"ashstand/internal/cluster/jobs"
 )
 
-// application computes the state that an executed operation leaves. The state holds no times but that of the
-// announcement, so whoever applies an outcome comes to the same bytes.
-type application struct {
+// outcomeApplier computes the state of a job after an executed operation. The only time that it writes into the state is
+// that of the operation's announcement, so every process that applies the same outcome produces the same bytes.
+type outcomeApplier struct {
 	request Request
 	outcome outcome
-	state   State // changed in place; what it points to is shared with the request and copied first
+	state   State // changed in place; values behind its pointers are shared with the request and copied before a change
 	result  jobs.Result
 }
 
-// applications are the functions that apply each operation's outcome.
-var applications = map[Operation]func(*application){
-	OperationCheck:           (*application).check,
-	OperationPublish:         (*application).publish,
-	OperationSubscribe:       (*application).subscribe,
-	OperationCopy:            (*application).copyTables,
-	OperationTrack:           (*application).track,
-	OperationCompare:         (*application).compare,
-	OperationPause:           (*application).pause,
-	OperationFence:           (*application).fence,
-	OperationVerify:          (*application).verify,
-	OperationSwitch:          (*application).switchGroups,
-	OperationReplicateBack:   (*application).replicateBack,
-	OperationReopen:          (*application).reopen,
-	OperationAccept:          (*application).accept,
-	OperationFinish:          (*application).finish,
-	OperationCleanUp:         (*application).rolledBack,
-	OperationCancel:          (*application).rolledBack,
-	OperationHold:            (*application).hold,
-	OperationResume:          (*application).resume,
-	OperationRollBack:        (*application).rollBack,
-	OperationDiscardApproval: (*application).discardApproval,
-}
-
-// applyOutcome returns the result of an executed operation, with the state that it leaves.
+// outcomeAppliers maps each operation to the method that applies its outcome.
+var outcomeAppliers = map[Operation]func(*outcomeApplier){
+	OperationCheck:           (*outcomeApplier).check,
+	OperationPublish:         (*outcomeApplier).publish,
+	OperationSubscribe:       (*outcomeApplier).subscribe,
+	OperationCopy:            (*outcomeApplier).copyTables,
+	OperationTrack:           (*outcomeApplier).track,
+	OperationCompare:         (*outcomeApplier).compare,
+	OperationPause:           (*outcomeApplier).pause,
+	OperationFence:           (*outcomeApplier).fence,
+	OperationVerify:          (*outcomeApplier).verify,
+	OperationSwitch:          (*outcomeApplier).switchGroups,
+	OperationReplicateBack:   (*outcomeApplier).replicateBack,
+	OperationReopen:          (*outcomeApplier).reopen,
+	OperationAccept:          (*outcomeApplier).accept,
+	OperationFinish:          (*outcomeApplier).finish,
+	OperationCleanUp:         (*outcomeApplier).rolledBack,
+	OperationCancel:          (*outcomeApplier).rolledBack,
+	OperationHold:            (*outcomeApplier).hold,
+	OperationResume:          (*outcomeApplier).resume,
+	OperationRollBack:        (*outcomeApplier).rollBack,
+	OperationDiscardApproval: (*outcomeApplier).discardApproval,
+}
+
+// applyOutcome returns the result of an executed operation, including the job's new state.
 func applyOutcome(request Request, result outcome) (jobs.Result, error) {
-	apply, known := applications[request.Operation]
+	apply, known := outcomeAppliers[request.Operation]
 	if !known {
 		return jobs.Result{}, &UnreadableJobError{Job: request.Job, Err: unknownOperationError(request.Operation)}
 	}
-	a := &application{request: request, outcome: result, state: request.State}
+	a := &outcomeApplier{request: request, outcome: result, state: request.State}
 	if lost := request.Data.LostCommits; lost != "" {
 		a.state.LostCommits = retainLatest(append(a.state.LostCommits, sanitize(lost)))
 	}
@@ -60,12 +60,12 @@
 	return a.result, err
 }
 
-// announced is when the operation was, by the clock of the lease holder that announced it.
-func (a *application) announced() LeaseTime {
+// announced returns when the operation was announced, by the clock of the lease holder that announced it.
+func (a *outcomeApplier) announced() LeaseTime {
 	return LeaseTime{At: a.request.Data.At, Token: a.request.AnnouncedToken}
 }
 
-func (a *application) check() {
+func (a *outcomeApplier) check() {
 	a.state.CheckResults = a.outcome.checkResults.truncated()
 	if len(a.state.CheckResults.Blocking()) > 0 {
 		a.state.HoldReason = "the check refuses"
@@ -75,14 +75,14 @@
 	a.state.HoldReason = ""
 }
 
-func (a *application) publish() {
+func (a *outcomeApplier) publish() {
 	a.state.Published = a.outcome.locked == nil
 	if a.outcome.locked != nil {
 		a.state.HoldReason = sanitize(a.outcome.locked.Error())
 	}
 }
 
-func (a *application) subscribe() {
+func (a *outcomeApplier) subscribe() {
 	restarts := a.state.Copy.Restarts
 	if a.request.Data.Recopy {
 		restarts++
@@ -93,7 +93,7 @@
 	a.state.resetComparison(a.outcome.Timelines)
 }
 
-func (a *application) copyTables() {
+func (a *outcomeApplier) copyTables() {
 	checkpoint := &a.state.Copy
 	checkpoint.LastTable = a.outcome.Copied.LastTable
 	checkpoint.Complete = a.outcome.Copied.Complete
@@ -101,7 +101,7 @@
 	checkpoint.BatchStarted = a.announced()
 }
 
-func (a *application) track() {
+func (a *outcomeApplier) track() {
 	if a.state.Phase != PhaseSwitched {
 		a.state.Phase = PhaseCatchingUp
 	}
@@ -110,7 +110,7 @@
 	a.state.Comparison = ComparisonCheckpoint{Started: a.announced()}
 }
 
-func (a *application) compare() {
+func (a *outcomeApplier) compare() {
 	checkpoint := &a.state.Comparison
 	checkpoint.LastRange = a.outcome.Compared.LastRange
 	checkpoint.Complete = a.outcome.Compared.Complete
@@ -119,21 +119,21 @@
 	a.state.recordDifferences(a.outcome.Compared.Differences)
 }
 
-func (a *application) pause() {
+func (a *outcomeApplier) pause() {
 	a.state.Phase = PhaseFencing
 	a.state.Reverse = a.request.Data.Reverse
 	a.state.BlockingSessions = nil
 	a.state.Pause = &Pause{Started: a.announced(), RulesVersion: a.outcome.rulesVersion}
 }
 
-// copyPause replaces the pause by a copy, which may be changed.
-func (a *application) copyPause() *Pause {
+// copyPause replaces the state's pause with a copy and returns the copy, which the caller may change.
+func (a *outcomeApplier) copyPause() *Pause {
 	pause := *a.state.Pause
 	a.state.Pause = &pause
 	return &pause
 }
 
-func (a *application) fence() {
+func (a *outcomeApplier) fence() {
 	pause := a.copyPause()
 	pause.FenceAttempts++
 	pause.Fence = a.outcome.Fence
@@ -146,7 +146,7 @@
 	}
 }
 
-func (a *application) verify() {
+func (a *outcomeApplier) verify() {
 	verification := a.outcome.verification
 	pause := a.copyPause()
 	pause.RangesRead = verification.RangesRead
@@ -164,7 +164,7 @@
 	}
 }
 
-func (a *application) switchGroups() {
+func (a *outcomeApplier) switchGroups() {
 	if a.outcome.unfenced {
 		pause := a.copyPause()
 		pause.Fence = nil
@@ -183,8 +183,8 @@
 	a.state.Phase = PhaseSwitched
 }
 
-// reopen ends a pause without a switch.
-func (a *application) reopen() {
+// reopen records that a pause ended without a switch.
+func (a *outcomeApplier) reopen() {
 	data := a.request.Data
 	a.state.Pause = nil
 	a.state.AbortedPauses++
@@ -211,7 +211,7 @@
 	}
 }
 
-func (a *application) replicateBack() {
+func (a *outcomeApplier) replicateBack() {
 	a.state.ReverseReplicating = true
 	if a.request.Data.Recopy {
 		a.state.addNote("the old home is copied anew from the new one")
@@ -219,34 +219,34 @@
 	a.state.resetComparison(a.outcome.Timelines)
 }
 
-func (a *application) accept() { a.state.Phase = PhaseAccepted }
+func (a *outcomeApplier) accept() { a.state.Phase = PhaseAccepted }
 
-func (a *application) finish() {
+func (a *outcomeApplier) finish() {
 	a.state.Phase = PhaseCompleted
 	a.result.Finished = true
 	a.result.Reason = "accepted"
 }
 
-func (a *application) rolledBack() {
+func (a *outcomeApplier) rolledBack() {
 	a.state.Phase = PhaseRolledBack
 	a.state.RollbackReason = a.request.Data.RollbackReason
 	a.result.Finished = true
 	a.result.Reason = "taken back: " + a.request.Data.RollbackReason
 }
 
-func (a *application) hold() { a.state.HoldReason = a.request.Data.HoldReason }
+func (a *outcomeApplier) hold() { a.state.HoldReason = a.request.Data.HoldReason }
 
-func (a *application) resume() {
+func (a *outcomeApplier) resume() {
 	a.state.HoldReason = ""
 	a.state.AbortedPauses = 0
 	a.state.RecopyRequired = a.state.RecopyRequired || len(a.state.Differences) > 0
 }
 
-func (a *application) rollBack() {
+func (a *outcomeApplier) rollBack() {
 	a.state.RollbackReason = a.request.Data.RollbackReason
 	a.state.HoldReason = ""
 }
 
-func (a *application) discardApproval() {
+func (a *outcomeApplier) discardApproval() {
 	a.state.addNote("%s means nothing while it is %s", a.request.Data.Reason, a.state.Phase)
 }
--- a/internal/cluster/migration/check.go
+++ b/internal/cluster/migration/check.go
@@ -3,7 +3,7 @@
 // CheckReason is the code of a CheckResult. Its values are stored and shown to operators.
 type CheckReason string
 
-// The reasons.
+// Reasons of check results.
 const (
 	// CheckNoReplicaIdentity: updates and deletes of a table can't be published.
 	CheckNoReplicaIdentity CheckReason = "no_replica_identity"
@@ -11,27 +11,28 @@
 	CheckUnloggedTable CheckReason = "unlogged_table"
 	// CheckLargeObjects: large objects can't be published.
 	CheckLargeObjects CheckReason = "large_objects"
-	// CheckPreparedTransaction: a two-phase transaction is open.
+	// CheckPreparedTransaction: a prepared transaction (two-phase commit) is open.
 	CheckPreparedTransaction CheckReason = "prepared_transaction"
 	// CheckExtensionMissing: the target lacks an extension, or has another version of it.
 	CheckExtensionMissing CheckReason = "extension_missing"
-	// CheckNoCapacity: the target has too little free space.
+	// CheckNoCapacity: the target has too little free storage.
 	CheckNoCapacity CheckReason = "no_room"
 	// CheckSchemaDiffers: the definitions differ.
 	CheckSchemaDiffers CheckReason = "schema_differs"
 	// CheckTargetNotEmpty: a table of the target has rows.
 	CheckTargetNotEmpty CheckReason = "target_not_empty"
-	// CheckSequence: a sequence is not published. Informational: the verification sets it.
+	// CheckSequence: a sequence is not published. The result is informational, because the verification sets the sequence at
+	// the target.
 	CheckSequence CheckReason = "sequence"
 	// CheckAssignmentDiffers: the agreed rules assign the tenant to another group than the plan's From.
 	CheckAssignmentDiffers CheckReason = "home_differs"
-	// CheckLimitsMissing: a pooler without a lease would go on serving the tenant.
+	// CheckLimitsMissing: the limits do not name the tenant's keys, so a pooler without a lease would continue to serve it.
 	CheckLimitsMissing CheckReason = "limits_missing"
 	// CheckNoSlots: no replication slot or sender is free.
 	CheckNoSlots CheckReason = "no_slots"
 )
 
-// checkText is what operators are told of a reason.
+// checkText holds the message and the advice that operators see for a reason.
 type checkText struct {
 	message string
 	advice  string
@@ -88,19 +89,19 @@
 	},
 }
 
-// CheckResult is something that a check found. It is an error with a code and advice unless it is informational.
+// CheckResult is one finding of a check. It is an error with a code and advice unless it is informational.
 type CheckResult struct {
 	Reason CheckReason `json:"code"`
 	Name   string      `json:"name,omitempty"` // of the table, sequence, extension and so on
 	Detail string      `json:"detail,omitempty"`
-	// Informational is set if the migration takes care of it by itself.
+	// Informational is set if the migration handles the finding without an operator.
 	Informational bool `json:"told,omitempty"`
 }
 
-// CheckResults are what one check found.
+// CheckResults are the findings of one check.
 type CheckResults []CheckResult
 
-// Error says in a sentence what was found.
+// Error describes the finding in one sentence.
 func (r *CheckResult) Error() string {
 	text := checkTexts[r.Reason].message
 	if text == "" {
@@ -115,13 +116,13 @@
 	return text
 }
 
-// Code is the reason.
+// Code returns the reason as text.
 func (r *CheckResult) Code() string { return string(r.Reason) }
 
-// Advice says what an operator can do.
+// Advice describes what an operator can do.
 func (r *CheckResult) Advice() string { return checkTexts[r.Reason].advice }
 
-// Blocking returns those that keep the migration from going on.
+// Blocking returns the findings that prevent the migration from continuing.
 func (r CheckResults) Blocking() (out []*CheckResult) {
 	for i := range r {
 		if !r[i].Informational {
@@ -131,7 +132,7 @@
 	return out
 }
 
-// truncated cuts the list to what a state holds; those that block come first.
+// truncated returns the first maxListed findings, with sanitized texts. Blocking findings come before informational ones.
 func (r CheckResults) truncated() CheckResults {
 	var out CheckResults
 	for _, informational := range []bool{false, true} {
--- a/internal/cluster/migration/decide.go
+++ b/internal/cluster/migration/decide.go
@@ -8,7 +8,7 @@
 	"ashstand/internal/cluster/jobs"
 )
 
-// Next implements jobs.Handler: it decides, without I/O, what comes after the recorded state.
+// Next implements jobs.Handler: it decides, without I/O, which operation follows the recorded state.
 func (m *Migrator) Next(now float64, job *jobs.Job, observation any) jobs.Decision {
 	plan, err := decodePlan(job.Spec)
 	if err != nil {
@@ -22,35 +22,35 @@
 	if observed != nil && observed.Step != job.Step {
 		observed = nil // it was made before the last operation was executed
 	}
-	d := &decider{plan: plan, timing: m.Timing, state: state, job: job, now: now, observed: observed, disabled: m.DisabledGuarantee}
+	d := &decider{plan: plan, timing: m.Timing, state: state, job: job, now: now, observed: observed, disabledGuarantee: m.DisabledGuarantee}
 	decision := d.decide()
 	decision.Options = d.options()
 	if decision.OperationName == "" && d.hasUselessApproval(decision.Options) {
-		d.approval = job.Approval // no other can be given while it stands
+		d.approval = job.Approval // no other approval can be given until this one is consumed
 		return d.announce(OperationDiscardApproval, OperationData{Reason: job.Approval.Action})
 	}
 	return decision
 }
 
-// decider makes one decision.
+// decider holds the input of one decision.
 type decider struct {
-	plan     Plan
-	timing   Timing
-	state    State
-	job      *jobs.Job
-	now      float64        // milliseconds
-	observed *Observation   // nil: nothing was observed at this step
-	approval *jobs.Approval // that the operation takes up; nil: none
-	disabled string         // see Migrator.DisabledGuarantee
+	plan              Plan
+	timing            Timing
+	state             State
+	job               *jobs.Job
+	now               float64        // milliseconds
+	observed          *Observation   // nil if nothing was observed at this step
+	approval          *jobs.Approval // that the operation consumes; nil if none
+	disabledGuarantee string         // see Migrator.DisabledGuarantee
 }
 
-// isApprovalCurrent reports whether an approval is there and was given for this step. A persistent one counts at any.
+// isApprovalCurrent reports whether an approval exists that was given for this step or is valid at any step (persistent).
 func (d *decider) isApprovalCurrent() bool {
 	approval := d.job.Approval
 	return approval != nil && (approval.Step == d.job.Step || approval.Persistent)
 }
 
-// takeApproval takes up the approval that was given for this step, if it is for an action.
+// takeApproval consumes the current approval and returns true if it approves the action.
 func (d *decider) takeApproval(action string) bool {
 	if !d.isApprovalCurrent() || d.job.Approval.Action != action {
 		return false
@@ -59,36 +59,37 @@
 	return true
 }
 
-// hasUselessApproval reports whether an approval is for none of the options.
+// hasUselessApproval reports whether the current approval matches none of the options.
 func (d *decider) hasUselessApproval(options []jobs.ApprovalOption) bool {
 	return d.isApprovalCurrent() && !slices.ContainsFunc(options, func(option jobs.ApprovalOption) bool {
 		return option.Action == d.job.Approval.Action
 	})
 }
 
-// passes reports whether a checkpoint is passed: the plan does not wait there, or its approval was given.
+// passes reports whether the migration may pass a checkpoint: the plan does not wait there, or an operator approved it.
 func (d *decider) passes(checkpoint Checkpoint) bool {
-	return !d.plan.waitsAt(checkpoint) || d.disabled == GuaranteeApproval || d.takeApproval(ActionGo)
+	return !d.plan.waitsAt(checkpoint) || d.disabledGuarantee == GuaranteeApproval || d.takeApproval(ActionGo)
 }
 
-// announce decides for an operation, with the approval that was taken up.
+// announce returns the decision to execute an operation, with the consumed approval.
 func (d *decider) announce(operation Operation, data OperationData) jobs.Decision {
 	data.At = d.now
-	encoded, _ := json.Marshal(data) // numbers, texts and flags: it can't fail
+	encoded, _ := json.Marshal(data) // can't fail: the data holds only numbers, strings and booleans
 	return jobs.Decision{OperationName: string(operation), Data: encoded, Approval: d.approval}
 }
 
-// waitFor decides to wait.
+// waitFor returns the decision to wait, with the reason.
 func waitFor(reason string, args ...any) jobs.Decision {
 	return jobs.Decision{Reason: fmt.Sprintf(reason, args...)}
 }
 
-// decide goes from what an operator has the most urgent interest in to what merely comes next.
+// decide tries the possible decisions in the order of their urgency: an operator's rollback, a pause that is under way, a
+// hold, and then the next operation of the phase.
 func (d *decider) decide() jobs.Decision {
 	if decision, decided := d.rollBack(); decided {
 		return decision
 	}
-	if d.state.Phase.isPaused() { // time runs: no wait may be without an end here
+	if d.state.Phase.isPaused() { // a pause has a time bound, so no wait in it may be unbounded
 		return d.continuePause()
 	}
 	if decision, decided := d.hold(); decided {
@@ -98,13 +99,13 @@
 	case PhasePlanned:
 		return d.start()
 	case PhaseChecked:
-		return d.build()
+		return d.buildCopy()
 	case PhaseCopying:
 		return d.copyTables()
 	case PhaseCatchingUp:
 		return d.beginPause()
 	case PhaseSwitched:
-		return d.finishOrReturn()
+		return d.finishOrRollBack()
 	case PhaseAccepted:
 		return d.announce(OperationFinish, OperationData{})
 	case PhaseCleaningUp:
@@ -113,15 +114,15 @@
 	return waitFor("it has ended")
 }
 
-// Reasons that stand in the log where an operator's action is their cause.
+// Reasons that are stored in the log when an operator's action is the cause.
 const (
 	reasonOperatorPause    = "an operator said pause"
 	reasonOperatorRollback = "an operator said rollback"
 )
 
-// rollBack carries out an operator's rollback, whatever else could be done.
+// rollBack starts the rollback that an operator approved. It takes precedence over every other decision.
 func (d *decider) rollBack() (jobs.Decision, bool) {
-	if d.disabled == GuaranteeRollback || d.state.RollbackReason != "" || !d.state.Phase.canRollBack() || !d.takeApproval(ActionRollback) {
+	if d.disabledGuarantee == GuaranteeRollback || d.state.RollbackReason != "" || !d.state.Phase.canRollBack() || !d.takeApproval(ActionRollback) {
 		return jobs.Decision{}, false
 	}
 	data := OperationData{RollbackReason: reasonOperatorRollback}
@@ -137,7 +138,7 @@
 	return d.announce(OperationCleanUp, data), true
 }
 
-// hold begins or ends a hold on an operator's approval, and waits while there is one.
+// hold starts or ends a hold when an operator approved it, and waits during a hold.
 func (d *decider) hold() (jobs.Decision, bool) {
 	isHeld := d.state.HoldReason != ""
 	if !isHeld && d.state.RollbackReason == "" && OperationHold.AllowedIn(d.state.Phase) && d.takeApproval(ActionPause) {
@@ -150,7 +151,7 @@
 		return d.announce(OperationResume, OperationData{}), true
 	}
 	if d.state.Phase == PhaseSwitched && !d.state.ReverseReplicating {
-		return jobs.Decision{}, false // the way back is built while it waits
+		return jobs.Decision{}, false // the replication back is set up during the hold
 	}
 	return waitFor("held: %s", d.state.HoldReason), true
 }
@@ -165,7 +166,7 @@
 	return waitFor("it is another move's turn: %s", d.observed.WaitReason)
 }
 
-func (d *decider) build() jobs.Decision {
+func (d *decider) buildCopy() jobs.Decision {
 	if d.state.Published {
 		return d.announce(OperationSubscribe, OperationData{})
 	}
@@ -175,13 +176,13 @@
 	return d.announce(OperationPublish, OperationData{})
 }
 
-// copyBatchSeconds is how many seconds' worth of rows are handed over at once: short against a change of load, long
-// against an operation in the log.
+// copyBatchSeconds is how many seconds' worth of rows one copy operation adds. It is short compared with the time over
+// which load changes, and long compared with the time that an operation in the log takes.
 const copyBatchSeconds = 10
 
 const millisPerSecond = 1000
 
-// copyTables hands tables over at the rate that both groups have capacity for.
+// copyTables adds tables to the copy at the rate that both groups have capacity for.
 func (d *decider) copyTables() jobs.Decision {
 	if decision, decided := d.ensureReplication(); decided {
 		return decision
@@ -208,12 +209,13 @@
 	return d.announce(OperationCopy, OperationData{Rows: rate * copyBatchSeconds})
 }
 
-// track begins to record changes anew, and notes if a failover is the cause.
+// track restarts the record of changed ranges, and notes whether a failover is the cause.
 func (d *decider) track() jobs.Decision {
 	return d.announce(OperationTrack, OperationData{LostCommits: d.describeFailover(), FailedOver: d.observed.Timelines != d.state.Timelines})
 }
 
-// describeFailover says what a failover of the source left behind; empty: it had none.
+// describeFailover describes a failover of the source and the commits that it lost. It returns an empty string if there
+// was no failover.
 func (d *decider) describeFailover() string {
 	is, was := d.observed.Timelines.Source, d.state.Timelines.Source
 	if is == was || was == 0 {
@@ -223,7 +225,8 @@
 	return fmt.Sprintf("group %d failed over from timeline %d to %d: what was acknowledged there and not passed on is lost", source, was, is)
 }
 
-// ensureReplication sees to it that the target can follow the source: it is copied anew where there is no other way.
+// ensureReplication waits or starts a new copy until the target can follow the source. It returns false once nothing is
+// left to do.
 func (d *decider) ensureReplication() (jobs.Decision, bool) {
 	if d.observed == nil || !d.observed.Reachable {
 		return waitFor("the homes can't be reached"), true
@@ -241,8 +244,9 @@
 	return jobs.Decision{}, false
 }
 
-// ensureComparison sees to it that all has been found equal since the last failover of either side: the source may have
-// lost what the target has applied, and the target what the source's slot counts as delivered.
+// ensureComparison restarts tracking or continues the comparison until all ranges were compared since the last failover
+// of either side. A failover of the source may lose writes that the target has applied, and a failover of the target may
+// lose writes that the source's slot counts as delivered. It returns false once nothing is left to do.
 func (d *decider) ensureComparison() (jobs.Decision, bool) {
 	if d.observed.TrackingLost || d.observed.Timelines != d.state.Timelines {
 		return d.track(), true
@@ -253,8 +257,9 @@
 	return jobs.Decision{}, false
 }
 
-// finishOrReturn builds the way back, then waits until an operator accepts the migration or rolls it back.
-func (d *decider) finishOrReturn() jobs.Decision {
+// finishOrRollBack sets up the replication back to the previous group, then waits until an operator accepts the migration
+// or rolls it back.
+func (d *decider) finishOrRollBack() jobs.Decision {
 	if !d.state.ReverseReplicating || d.observed != nil && d.observed.Reachable && d.observed.TargetUnfenced {
 		return d.announce(OperationReplicateBack, OperationData{})
 	}
--- a/internal/cluster/migration/digest.go
+++ b/internal/cluster/migration/digest.go
@@ -11,40 +11,40 @@
 	"github.com/zeebo/blake3"
 )
 
-// Range is a part of a table by its key, as text in the order of collation C. To is exclusive; empty bounds are open.
+// Range is a range of a table's keys, compared as text in collation C. To is exclusive. An empty bound is unbounded.
 type Range struct {
 	Table, From, To string
 }
 
-// String names the bounds.
+// String returns the bounds as text.
 func (r Range) String() string {
 	return fmt.Sprintf("%s to %s", cmp.Or(r.From, "the beginning"), cmp.Or(r.To, "the end"))
 }
 
-// digestWords is how many 64-bit words a digest has.
+// digestWords is the number of 64-bit words of a digest.
 const digestWords = 4
 
-// RangeDigest is what a range holds: the number of its rows, and the sum of their BLAKE3 digests modulo 2^256. A sum does
-// not depend on the order of rows, which two hosts with other locales may not share, and a row that is there twice counts
-// twice.
+// RangeDigest summarizes the rows of a range by their number and the sum of their BLAKE3 digests modulo 2^256. The sum
+// does not depend on the order of the rows, which can differ between two hosts with different locales. A duplicate row
+// counts twice.
 type RangeDigest struct {
 	Rows uint64
 	Sum  [digestWords]uint64 // big-endian
 }
 
-// String shows the count and the first bytes of the sum.
+// String returns the row count and the first 8 bytes of the sum.
 func (d RangeDigest) String() string {
 	var first [8]byte
 	binary.BigEndian.PutUint64(first[:], d.Sum[0])
 	return fmt.Sprintf("%d rows, %s", d.Rows, hex.EncodeToString(first[:]))
 }
 
-// AddRow takes a row in: its columns in the table's order as text, nil for NULL.
+// AddRow adds a row, given as the text of its columns in the table's order, with nil for NULL.
 func (d *RangeDigest) AddRow(columns ...[]byte) {
 	hash := blake3.New()
 	var length [8]byte
 	for _, column := range columns {
-		// A length of 0 stands for NULL, so no two rows have one encoding.
+		// Length 0 stands for NULL and other lengths are increased by 1, so different rows have different encodings.
 		if column == nil {
 			length = [8]byte{}
 		} else {
@@ -62,7 +62,8 @@
 	d.Rows++
 }
 
-// CompareRanges returns the ranges whose digests differ, in order. A range that one side lacks differs from one with rows.
+// CompareRanges returns the ranges whose digests differ, ordered by table and range. A range that is missing on one side
+// counts as empty there.
 func CompareRanges(source, target map[Range]RangeDigest) (out []Difference) {
 	ranges := map[Range]bool{}
 	for _, digests := range []map[Range]RangeDigest{source, target} {
--- a/internal/cluster/migration/doc.go
+++ b/internal/cluster/migration/doc.go
@@ -8,13 +8,15 @@
 //   - phase.go holds the states, operation.go the transitions between them;
 //   - decide.go chooses the next operation from the recorded state, the last observation and operators' approvals;
 //   - apply.go computes the state that an executed operation leaves;
-//   - migrator.go joins both to the database hosts and the agreed rules, which are interfaces here.
+//   - migrator.go connects both to the database hosts and the agreed rules, which are interfaces in this package.
 //
 // Invariants:
 //
-//   - Two groups never accept writes of one tenant: the group that loses it is fenced at its primary, under the fencing
-//     token, before the rules name the other one, and only a version of the rules decides between the two.
-//   - A tenant changes its group only after all ranges of keys were found equal since the last failover of either side.
-//   - A pause of writes ends within the plan's bound, whatever moment a lease holder fails at (timing.go derives it).
-//   - Until an operator accepts the migration it can be rolled back without the loss of a commit.
+//   - Two groups never accept writes of one tenant at the same time: the group that gives the tenant up is fenced at its
+//     primary, under the fencing token, before the rules name the other group, and only a version of the rules decides
+//     which of the two serves the tenant.
+//   - A tenant is switched to the other group only after all ranges of keys were found equal since the last failover of
+//     either group.
+//   - A pause of writes ends within the plan's bound, at whatever moment a lease holder fails (see timing.go).
+//   - Until an operator accepts the migration, it can be rolled back without losing a commit.
 package migration
--- a/internal/cluster/migration/errors.go
+++ b/internal/cluster/migration/errors.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// PlanError is one thing that is wrong with a plan.
+// PlanError describes one invalid value in a plan.
 type PlanError struct {
-	Key    string // of the plan
-	Value  any    // nil: none was given
+	Key    string // in the plan
+	Value  any    // nil if none was given
 	Detail string // what is allowed
 }
 
-// Error says it in a sentence.
+// Error describes the error in one sentence.
 func (e *PlanError) Error() string {
 	if e.Value == nil {
 		return e.Key + ": " + e.Detail
@@ -17,40 +17,41 @@
 	return fmt.Sprintf("%s is %v: %s", e.Key, e.Value, e.Detail)
 }
 
-// Code is the reason.
+// Code returns the error code.
 func (e *PlanError) Code() string { return "plan_malformed" }
 
-// Advice says what an operator can do.
+// Advice describes what an operator can do.
 func (e *PlanError) Advice() string {
 	return "correct " + e.Key + " and order the move again; nothing was begun"
 }
 
-// TenantLockedError says that another job migrates the tenant.
+// TenantLockedError reports that another job migrates the tenant.
 type TenantLockedError struct {
 	Tenant string
-	Job    string // the other one
+	Job    string // the job that migrates it
 }
 
-// Error says it in a sentence.
+// Error describes the error in one sentence.
 func (e *TenantLockedError) Error() string {
 	return "tenant " + e.Tenant + " is being moved by " + e.Job
 }
 
-// Code is the reason.
+// Code returns the error code.
 func (e *TenantLockedError) Code() string { return "tenant_taken" }
 
-// Advice says what an operator can do.
+// Advice describes what an operator can do.
 func (e *TenantLockedError) Advice() string {
 	return "let " + e.Job + " end, or take it back; then resume or order this one anew"
 }
 
-// UnreadableJobError says that this version can't read a job's plan, state or operation: a newer one wrote it.
+// UnreadableJobError reports that this version can't read a job's plan, state or operation, because a newer version wrote
+// it.
 type UnreadableJobError struct {
 	Job string
 	Err error
 }
 
-// Error says it in a sentence.
+// Error describes the error in one sentence.
 func (e *UnreadableJobError) Error() string {
 	return "work " + e.Job + " can't be read: " + e.Err.Error()
 }
@@ -58,18 +59,18 @@
 // Unwrap returns the cause.
 func (e *UnreadableJobError) Unwrap() error { return e.Err }
 
-// Code is the reason.
+// Code returns the error code.
 func (e *UnreadableJobError) Code() string { return "work_unreadable" }
 
-// Advice says what an operator can do.
+// Advice describes what an operator can do.
 func (e *UnreadableJobError) Advice() string { return "run the program that began it, or a newer one" }
 
-// unknownOperationError names an operation that this version does not have.
+// unknownOperationError names an operation that this version does not know.
 type unknownOperationError Operation
 
 func (e unknownOperationError) Error() string { return "there is no deed " + string(e) }
 
-// cursorTooLongError is of a position in a copy or comparison that a state has no room for.
+// cursorTooLongError reports a position in a copy or comparison that is longer than a state may hold.
 type cursorTooLongError struct {
 	bytes int
 }
--- a/internal/cluster/migration/execute.go
+++ b/internal/cluster/migration/execute.go
@@ -8,18 +8,18 @@
 	"ashstand/internal/cluster/jobs"
 )
 
-// outcome is what an executed operation returned. An operation sets the fields that it has.
+// outcome is the result of an executed operation. Each operation sets only the fields that apply to it.
 type outcome struct {
 	Recovery
 	checkResults CheckResults
 	blocking     []BlockingSession
 	verification VerificationResult
 	rulesVersion int
-	locked       *TenantLockedError // by another job
+	locked       *TenantLockedError // set if another job has locked the tenant
 	unfenced     bool               // the source failed over since it was fenced
 }
 
-// execute has an operation done by the database hosts or the agreed rules. Those that change nothing but the recorded
+// execute executes an operation at the database hosts or in the agreed rules. Operations that change only the recorded
 // state need neither.
 func (m *Migrator) execute(ctx context.Context, request Request) (result outcome, err error) {
 	source, target := request.State.groups(&request.Plan)
@@ -29,7 +29,7 @@
 	case OperationPublish:
 		err = m.Databases.Publish(ctx, request)
 		if errors.As(err, &result.locked) {
-			err = nil // it is recorded, and an operator has to resume
+			err = nil // the lock is recorded in the state, and an operator has to resume
 		}
 	case OperationSubscribe:
 		result.Timelines, err = m.Databases.Subscribe(ctx, request)
@@ -71,7 +71,7 @@
 	return result, nil
 }
 
-// executeSwitch has the target serve the tenant, if the source is still fenced where it was.
+// executeSwitch makes the target serve the tenant if the source is still fenced on the same timeline.
 func (m *Migrator) executeSwitch(ctx context.Context, request Request, source, target Group) (result outcome, err error) {
 	fenced, timeline, err := m.Databases.FenceStatus(ctx, request, source)
 	if err != nil {
@@ -85,8 +85,8 @@
 	return result, err
 }
 
-// serveFrom has a group serve the tenant. The log decides, before the fence is removed: then no host is ahead of what was
-// decided, and whoever comes next reads the log and completes it.
+// serveFrom makes a group serve the tenant. It records the decision in the log before it removes the fence, so no host
+// acts on a decision that is not logged, and the next lease holder can read the log and complete the operation.
 func (m *Migrator) serveFrom(ctx context.Context, request Request, group Group) (version int, err error) {
 	version, err = m.changeRules(ctx, request, m.servingRules(request, group))
 	if err != nil {
@@ -101,12 +101,12 @@
 	return m.Rules.Change(ctx, request.Job, request.Token, operation, change)
 }
 
-// servingRules are the keys by which a group serves the tenant.
+// servingRules returns the rule changes that make a group serve the tenant.
 func (m *Migrator) servingRules(request Request, group Group) map[string]any {
 	return map[string]any{request.Plan.groupKey(): float64(group), request.Plan.pausedKey(): false}
 }
 
-// checkRules checks the agreed rules and the limits.
+// checkRules returns the findings about the agreed rules and the limits.
 func (m *Migrator) checkRules(plan *Plan) (out CheckResults) {
 	rules, _, _ := m.Rules.Current()
 	if assigned := rules[plan.groupKey()]; assigned != float64(plan.From) {
@@ -120,8 +120,9 @@
 	return out
 }
 
-// recoverOutcome finds out whether an operation was executed. The log alone says it of those that act on the rules, and
-// a fence that one of them left is removed; the hosts say it of the others.
+// recoverOutcome determines whether an operation was executed. For operations that act on the rules the log alone
+// determines it, and recoverOutcome removes the fence that such an operation may have left; for the others it asks the
+// hosts.
 func (m *Migrator) recoverOutcome(ctx context.Context, request Request) (done bool, result outcome, err error) {
 	source, target := request.State.groups(&request.Plan)
 	rules, version, _ := m.Rules.Current()
@@ -141,7 +142,7 @@
 		}
 		return true, result, m.Databases.Unfence(ctx, request, source)
 	case OperationAccept, OperationCancel, OperationHold, OperationResume, OperationRollBack, OperationDiscardApproval:
-		return true, result, nil // their announcement is all there is to them
+		return true, result, nil // these have no effect beyond their announcement
 	case OperationCheck, OperationVerify:
 		return false, result, nil // they change nothing, and are executed again
 	}
--- a/internal/cluster/migration/migrator.go
+++ b/internal/cluster/migration/migrator.go
@@ -7,29 +7,30 @@
 	"ashstand/internal/cluster/jobs"
 )
 
-// Rules are the agreed rules, as far as a migration needs them.
+// Rules gives access to the agreed rules, as far as a migration needs them.
 type Rules interface {
-	// Current returns the newest rules in the log, which are at least those of the caller's own lease. inForce: every
-	// pooler whose lease may still run acts on them alone.
+	// Current returns the newest rules in the log, which are at least as new as those of the caller's own lease. inForce is
+	// set if every pooler whose lease may still be valid acts only on these rules.
 	Current() (rules map[string]any, version int, inForce bool)
-	// Change brings keys in, in one version, and returns once it is in the log. The log rejects it if the job has a later
-	// token by then, or if the operation is no longer open: it was recovered and found not executed. While another version
-	// is not in force yet, Change waits. Timing counts one such wait: it presumes that waiting changes are combined, or
-	// that nothing else changes the rules.
+	// Change sets keys in one new version of the rules and returns once that version is in the log. The log rejects it if
+	// the job has a later token by then, or if the operation is no longer open because it was recovered and found not
+	// executed. Change waits while another version is not in force yet. Timing counts one such wait: it assumes that waiting
+	// changes are combined or that nothing else changes the rules.
 	Change(ctx context.Context, job string, token jobs.FencingToken, operation *jobs.Operation, change map[string]any) (version int, err error)
-	// HasLimit reports whether the limits name a key: then a pooler without a lease keeps to it.
+	// HasLimit reports whether the limits name a key; a pooler without a lease then obeys the limit.
 	HasLimit(key string) bool
 }
 
-// RateLimiter bounds the initial copy.
+// RateLimiter bounds the rate of the initial copy.
 type RateLimiter interface {
-	// RowsPerSecond is what both groups have capacity for, by their load and latency objectives; 0: nothing now.
+	// RowsPerSecond returns the rate that both groups have capacity for, by their load and latency objectives; 0 if they
+	// have none now.
 	RowsPerSecond(from, to Group) float64
 }
 
-// TargetHealth says whether a group can take a tenant over.
+// TargetHealth reports whether a group can take over a tenant.
 type TargetHealth interface {
-	// UnfitReason is why a group should not serve the tenant now, such as cold, draining or slow; empty: it may.
+	// UnfitReason returns why a group should not serve the tenant now, such as cold, draining or slow; empty if it may.
 	UnfitReason(to Group, tenant string) string
 }
 
@@ -43,52 +44,53 @@
 type Migrator struct {
 	Databases   Databases
 	Rules       Rules
-	RateLimiter RateLimiter  // nil: the plan's bound alone counts
-	Health      TargetHealth // nil: any group is fit
-	Scheduler   Scheduler    // nil: any migration may start
+	RateLimiter RateLimiter  // nil if only the plan bounds the rate
+	Health      TargetHealth // nil if any group is fit
+	Scheduler   Scheduler    // nil if any migration may start
 	Timing      Timing
-	// DisabledGuarantee is one of Guarantees, which is switched off so that a checker is seen to fail; empty: none.
+	// DisabledGuarantee is one of Guarantees, which tests disable to show that the checker for it fails; empty if none.
 	DisabledGuarantee string
 }
 
-// What Migrator.DisabledGuarantee can switch off.
+// Guarantees that Migrator.DisabledGuarantee can disable.
 const (
-	// GuaranteeFence: a switch needs a fenced source.
+	// GuaranteeFence: a switch requires a fenced source.
 	GuaranteeFence = "fence"
-	// GuaranteeVerify: a switch needs a verification without differences.
+	// GuaranteeVerify: a switch requires a verification without differences.
 	GuaranteeVerify = "verify"
 	// GuaranteePause: a pause ends within its bound.
 	GuaranteePause = "pause"
 	// GuaranteeRollback: a rollback is carried out.
 	GuaranteeRollback = "back"
-	// GuaranteeApproval: a checkpoint is passed with its approval only.
+	// GuaranteeApproval: a migration passes a checkpoint only with an approval.
 	GuaranteeApproval = "word"
 )
 
 // Guarantees are the values of Migrator.DisabledGuarantee.
 var Guarantees = []string{GuaranteeFence, GuaranteeVerify, GuaranteePause, GuaranteeRollback, GuaranteeApproval}
 
-// Observation is what the database hosts and the agreed rules showed. It is valid for the step at which it was made.
+// Observation is the observed state of the database hosts and the agreed rules. It is valid only for the step at which it
+// was made.
 type Observation struct {
 	Step uint64
-	// Version is that of the newest logged rules; InForce: every pooler with a lease acts on it alone.
+	// Version is the version of the newest logged rules. InForce is set if every pooler with a lease acts only on it.
 	Version int
 	InForce bool
-	// Paused and Group are the tenant's in that version.
+	// Paused and Group are the tenant's values in that version.
 	Paused bool
 	Group  Group
-	// MayStart and WaitReason are the scheduler's.
+	// MayStart and WaitReason are the answer of the Scheduler.
 	MayStart   bool
 	WaitReason string
-	// RowsPerSecond is what both groups have capacity for; 0: nothing now.
+	// RowsPerSecond is the copy rate that both groups have capacity for; 0 if they have none now.
 	RowsPerSecond float64
 	ReplicationStatus
 }
 
-// unlimitedRowsPerSecond is the rate without a RateLimiter.
+// unlimitedRowsPerSecond is the rate that applies without a RateLimiter.
 const unlimitedRowsPerSecond = 1e9
 
-// request decodes a job and, unless it is nil, its operation.
+// request decodes a job and, unless operation is nil, the operation.
 func (m *Migrator) request(job *jobs.Job, operation *jobs.Operation) (Request, error) {
 	plan, err := decodePlan(job.Spec)
 	if err != nil {
@@ -115,8 +117,7 @@
 	return request, nil
 }
 
-// Observe implements jobs.Handler: it returns an *Observation of the rules and, as far as the phase calls for it, of both
-// groups.
+// Observe implements jobs.Handler: it returns an *Observation of the rules and, in the phases that need it, of both groups.
 func (m *Migrator) Observe(ctx context.Context, job *jobs.Job) (any, error) {
 	request, err := m.request(job, nil)
 	if err != nil {
@@ -159,7 +160,7 @@
 	status, err := m.Databases.ReplicationStatus(ctx, request, source, target)
 	if err != nil {
 		if request.State.Phase.isPaused() {
-			return nil // the rules alone count as an observation: a pause has to end
+			return nil // the rules are enough of an observation, because a pause has to end even without the hosts
 		}
 		return err
 	}
@@ -170,7 +171,7 @@
 	return nil
 }
 
-// Execute implements jobs.Handler: it executes an operation that was announced.
+// Execute implements jobs.Handler: it executes an announced operation.
 func (m *Migrator) Execute(ctx context.Context, job *jobs.Job, operation *jobs.Operation) (jobs.Result, error) {
 	request, err := m.request(job, operation)
 	if err != nil {
@@ -183,8 +184,8 @@
 	return applyOutcome(request, outcome)
 }
 
-// Recover implements jobs.Handler: it finds out whether an operation that is in doubt was executed. What the log has
-// decided is completed.
+// Recover implements jobs.Handler: it determines whether an operation with an unknown outcome was executed. It completes
+// what the log has already decided.
 func (m *Migrator) Recover(ctx context.Context, job *jobs.Job, operation *jobs.Operation) (done bool, result jobs.Result, err error) {
 	request, err := m.request(job, operation)
 	if err != nil {
--- a/internal/cluster/migration/operation.go
+++ b/internal/cluster/migration/operation.go
@@ -6,22 +6,21 @@
 	"ashstand/internal/cluster/jobs"
 )
 
-// Operation is a transition of the state machine. Its values are stored in the replicated log. Each operation can be
-// executed again by the next lease holder after it was executed in part or completely, with the same outcome.
+// Operation is a transition of the state machine. Its values are stored in the replicated log. Operations are idempotent:
+// the next lease holder can execute one again after it was executed in part or completely, with the same outcome.
 type Operation string
 
-// The operations. Those marked "log" act on the agreed rules or on nothing but the recorded state; the others act on the
-// database hosts.
+// Operations marked "log" act on the agreed rules or only on the recorded state. The others act on the database hosts.
 const (
-	// OperationCheck looks for all that stands in the way, at both groups.
+	// OperationCheck looks at both groups for everything that prevents the migration.
 	OperationCheck Operation = "check"
-	// OperationPublish makes the fences and a publication without tables.
+	// OperationPublish creates the fences and a publication without tables.
 	OperationPublish Operation = "publish"
-	// OperationSubscribe makes the target's subscription; it begins an earlier copy anew.
+	// OperationSubscribe creates the target's subscription. It restarts an earlier copy.
 	OperationSubscribe Operation = "subscribe"
-	// OperationCopy hands further tables over to the subscription.
+	// OperationCopy adds more tables to the subscription.
 	OperationCopy Operation = "copy"
-	// OperationTrack begins to track which ranges of keys change, and forgets what was tracked before.
+	// OperationTrack starts to record which ranges of keys change, and discards earlier records.
 	OperationTrack Operation = "mark"
 	// OperationCompare compares some ranges of keys while the tenant is in use.
 	OperationCompare Operation = "compare"
@@ -29,42 +28,43 @@
 	OperationPause Operation = "pause"
 	// OperationFence fences the group that serves the tenant, once running writers have ended.
 	OperationFence Operation = "close"
-	// OperationVerify compares all that changed since it was found equal, while nobody writes.
+	// OperationVerify compares all ranges that changed since they were found equal, while nobody writes.
 	OperationVerify Operation = "verify"
-	// OperationSwitch names the target in the rules (log) and then removes its fence.
+	// OperationSwitch assigns the tenant to the target in the rules (log), then removes the target's fence.
 	OperationSwitch Operation = "switch"
-	// OperationReplicateBack makes a subscription of the previous group to the one that serves now.
+	// OperationReplicateBack subscribes the group that served the tenant before to the one that serves it now.
 	OperationReplicateBack Operation = "feed"
-	// OperationReopen ends a pause without a switch: the rules name the source (log), then its fence is removed.
+	// OperationReopen ends a pause without a switch: it assigns the tenant to the source in the rules (log), then removes
+	// the source's fence.
 	OperationReopen Operation = "reopen"
-	// OperationAccept records that an operator ended the way back (log).
+	// OperationAccept records that an operator accepted the migration, which ends the replication back (log).
 	OperationAccept Operation = "accept"
-	// OperationFinish removes what the migration built, the tables excepted.
+	// OperationFinish removes what the migration created, except the tables.
 	OperationFinish Operation = "finish"
-	// OperationCleanUp removes what the migration built and empties the copy.
+	// OperationCleanUp removes what the migration created and empties the copy.
 	OperationCleanUp Operation = "clear"
-	// OperationCancel ends a migration that has built nothing (log).
+	// OperationCancel ends a migration that has created nothing (log).
 	OperationCancel Operation = "end"
-	// OperationHold records that nothing further is begun until an operator resumes (log).
+	// OperationHold records that the migration starts nothing further until an operator resumes it (log).
 	OperationHold Operation = "hold"
 	// OperationResume ends a hold (log).
 	OperationResume Operation = "resume"
 	// OperationRollBack records that a switched migration is to be rolled back (log).
 	OperationRollBack Operation = "back"
-	// OperationDiscardApproval drops an approval that means nothing at this step, so that another can be given (log).
+	// OperationDiscardApproval discards an approval that has no effect at this step, so that another can be given (log).
 	OperationDiscardApproval Operation = "drop"
 )
 
-// transition is what an operation may do to the phase.
+// transition describes how an operation may change the phase.
 type transition struct {
-	from []Phase // in which it is announced
-	to   []Phase // that it may lead to
+	from []Phase // phases in which the operation may be announced
+	to   []Phase // phases that it may lead to
 }
 
-// unpausedPhases are those in which a migration can be held for as long as operators like.
+// unpausedPhases are the phases in which a migration can be held without a time limit.
 var unpausedPhases = []Phase{PhasePlanned, PhaseChecked, PhaseCopying, PhaseCatchingUp, PhaseSwitched}
 
-// transitions is the table of the state machine. An operation that may leave the phase as it is has that phase in both
+// transitions is the transition table of the state machine. An operation that may keep the phase has that phase in both
 // columns.
 var transitions = map[Operation]transition{
 	OperationCheck:           {from: []Phase{PhasePlanned}, to: []Phase{PhasePlanned, PhaseChecked}},
@@ -92,49 +92,49 @@
 // AllowedIn reports whether the operation may be announced in a phase.
 func (o Operation) AllowedIn(phase Phase) bool { return slices.Contains(transitions[o].from, phase) }
 
-// LeadsTo reports whether the operation may leave a migration in a phase.
+// LeadsTo reports whether a migration may be in a phase after the operation.
 func (o Operation) LeadsTo(phase Phase) bool { return slices.Contains(transitions[o].to, phase) }
 
-// OperationData is what an operation is announced with. A field that an operation does not use is left out.
+// OperationData holds the parameters with which an operation is announced. Fields that an operation does not use are empty.
 type OperationData struct {
-	// At is when it was announced, in milliseconds by the clock of the lease holder whose token the operation carries.
+	// At is when the operation was announced, in milliseconds by the clock of the lease holder whose token it carries.
 	At float64 `json:"at"`
 	// TimeoutMillis bounds how long the database hosts may take.
 	TimeoutMillis float64 `json:"within,omitempty"`
-	// Rows is about how many rows a copy hands over.
+	// Rows is the approximate number of rows that a copy adds.
 	Rows float64 `json:"rows,omitempty"`
-	// EndBlockingSessions has a fence terminate the sessions that hold it up.
+	// EndBlockingSessions makes a fence terminate the sessions that block it.
 	EndBlockingSessions bool `json:"end,omitempty"`
-	// Recopy has a subscribe or replicate-back drop what is there and begin anew.
+	// Recopy makes a subscribe or replicate-back drop the existing subscription and copy and start again.
 	Recopy bool `json:"again,omitempty"`
-	// Reverse is of a pause on the way back to the plan's From.
+	// Reverse is set for a pause that moves the tenant back to the plan's From.
 	Reverse bool `json:"reverse,omitempty"`
-	// RollbackReason is why the migration is rolled back, of a reopen, clean-up, cancel, pause or roll-back.
+	// RollbackReason is why the migration is rolled back. A reopen, clean-up, cancel, pause or roll-back may set it.
 	RollbackReason string `json:"back,omitempty"`
-	// HoldReason is why the migration waits for an operator afterwards, of a hold or reopen.
+	// HoldReason is why the migration waits for an operator afterwards. A hold or reopen may set it.
 	HoldReason string `json:"held,omitempty"`
-	// Reason is why a pause is aborted, of a reopen; of a discard, the action of the approval.
+	// Reason is why a reopen aborts the pause, or the action of the approval that a discard removes.
 	Reason string `json:"why,omitempty"`
-	// FailedOver is of a track: either side failed over since the last one.
+	// FailedOver is set for a track if either group failed over since the previous track.
 	FailedOver bool `json:"doubt,omitempty"`
-	// LostCommits describes what a failover left behind.
+	// LostCommits describes the commits that a failover lost.
 	LostCommits string `json:"lost,omitempty"`
 }
 
-// Request is what an operation at the database hosts is executed under. Token and Number only rise: in the transaction
-// that executes the operation, each host rejects a token lower than one it has seen for the job with a *jobs.FencedError,
-// and under an equal token a lower number. The number fences off what the lease holder itself has given up and what
-// arrives all the same.
+// Request is the context in which an operation is executed at the database hosts. Token and Number never decrease: in the
+// transaction that executes the operation, each host rejects a token lower than one it has seen for the job, and under an
+// equal token a lower number, with a *jobs.FencedError. The number fences off late requests of an operation that the lease
+// holder itself has given up.
 type Request struct {
 	Plan  Plan
 	Job   string
 	Token jobs.FencingToken
-	// Number is the operation's.
+	// Number is the operation's number.
 	Number uint64
 	// OperationID identifies the operation; see jobs.Operation.ID.
 	OperationID string
 	Operation   Operation
-	// AnnouncedToken is the one under which the operation was announced.
+	// AnnouncedToken is the token under which the operation was announced.
 	AnnouncedToken jobs.FencingToken
 	// State is the state before the operation.
 	State State
--- a/internal/cluster/migration/options.go
+++ b/internal/cluster/migration/options.go
@@ -6,7 +6,7 @@
 	"ashstand/internal/cluster/jobs"
 )
 
-// options returns the actions that operators could approve at this step, each with its effect.
+// options returns the actions that operators can approve at this step, each with its effect.
 func (d *decider) options() (out []jobs.ApprovalOption) {
 	add := func(action, effect string) {
 		out = append(out, jobs.ApprovalOption{Action: action, Effect: effect, Persistent: action == ActionRollback})
@@ -27,7 +27,7 @@
 	return out
 }
 
-// advanceOption returns the action that has the migration go on, if it waits for one.
+// advanceOption returns the action that lets the migration continue, if it waits for one.
 func (d *decider) advanceOption() (action, effect string) {
 	state, plan := &d.state, &d.plan
 	isRollingBack := state.RollbackReason != ""
@@ -46,7 +46,7 @@
 	return "", ""
 }
 
-// resumeEffect says what a resume does.
+// resumeEffect describes, for operators, what a resume does.
 func (s *State) resumeEffect() string {
 	switch {
 	case len(s.Differences) > 0 && s.Phase == PhaseSwitched:
--- a/internal/cluster/migration/pause.go
+++ b/internal/cluster/migration/pause.go
@@ -4,13 +4,15 @@
 	"ashstand/internal/cluster/jobs"
 )
 
-// pausePollMillis is how often the groups and rules are observed while a tenant is paused: short against any pause.
+// pausePollMillis is the interval at which the groups and rules are observed while a tenant is paused. It is short
+// compared with any pause.
 const pausePollMillis = 20
 
-// minTimeoutMillis is the least that an operation in a pause is given.
+// minTimeoutMillis is the shortest timeout of an operation during a pause.
 const minTimeoutMillis = 1
 
-// ensurePauseFits sees to it that a pause which begins now can be expected to end in a switch.
+// ensurePauseFits waits until a pause that begins now can be expected to end in a switch. It restarts tracking if that
+// shortens the verification, and returns false once the pause fits.
 func (d *decider) ensurePauseFits() (jobs.Decision, bool) {
 	if elapsed, known := d.state.LastAbort.elapsed(d.now, d.job.Token); known && d.state.AbortedPauses > 0 && elapsed < d.plan.BackoffMillis {
 		decision := waitFor("rests after a pause that was taken back")
@@ -27,13 +29,14 @@
 	}
 	elapsed, known := d.state.Comparison.Started.elapsed(d.now, d.job.Token)
 	if d.observed.VerifyMillis > d.observed.LagMillis && (!known || elapsed > d.plan.BackoffMillis) {
-		// Fewer ranges have changed right after a comparison.
+		// Right after a new comparison fewer ranges count as changed, so the verification reads less.
 		return d.announce(OperationTrack, OperationData{}), true
 	}
 	return waitFor("a pause now would need %.0f ms, %.0f are left of its bound", need, cutoff), true
 }
 
-// beginPause pauses the tenant once the target follows, all was found equal, and the pause fits its bound.
+// beginPause pauses the tenant once the target follows the source, all ranges were found equal and the pause fits its
+// bound.
 func (d *decider) beginPause() jobs.Decision {
 	for _, ensure := range []func() (jobs.Decision, bool){d.ensureReplication, d.ensureComparison, d.ensurePauseFits} {
 		if decision, decided := ensure(); decided {
@@ -46,14 +49,14 @@
 	return d.announce(OperationPause, OperationData{})
 }
 
-// continuePause goes on with a pause, or ends it while that fits its bound.
+// continuePause continues a pause, or ends it early enough to keep its bound.
 func (d *decider) continuePause() jobs.Decision {
 	if d.takeApproval(ActionPause) {
 		return d.announce(OperationReopen, OperationData{Reason: reasonOperatorPause, HoldReason: reasonOperatorPause})
 	}
 	elapsed, known := d.state.Pause.Started.elapsed(d.now, d.job.Token)
 	remaining := d.timing.CutoffMillis(d.plan) - elapsed
-	if d.disabled == GuaranteePause {
+	if d.disabledGuarantee == GuaranteePause {
 		return d.advancePause(remaining)
 	}
 	if !known {
@@ -63,13 +66,13 @@
 		return d.announce(OperationReopen, OperationData{Reason: "its time was up: " + d.pauseBlocker()})
 	}
 	decision := d.advancePause(remaining)
-	if decision.OperationName == "" { // what it waits for shows at the hosts and in the rules, which have to be observed
+	if decision.OperationName == "" { // only another observation of the hosts and rules shows the end of this wait
 		decision.RetryAfterMillis = max(1, min(remaining, pausePollMillis))
 	}
 	return decision
 }
 
-// pauseBlocker says what a pause was waiting for.
+// pauseBlocker describes what a pause was waiting for.
 func (d *decider) pauseBlocker() string {
 	switch pause := d.state.Pause; {
 	case pause.Fence == nil && len(d.state.BlockingSessions) > 0:
@@ -84,7 +87,7 @@
 	return "nobody said go"
 }
 
-// advancePause takes the next step towards the switch, in the milliseconds that remain.
+// advancePause decides on the next step towards the switch, with the milliseconds that remain for it.
 func (d *decider) advancePause(remaining float64) jobs.Decision {
 	pause := d.state.Pause
 	switch {
@@ -124,7 +127,7 @@
 	switch {
 	case observed == nil || !observed.Reachable:
 		return waitFor("the homes can't be reached")
-	case observed.Timelines.Source != fence.Timeline: // the new primary may lack the fence, and positions mean something else
+	case observed.Timelines.Source != fence.Timeline: // the new primary may lack the fence, and its log positions are not comparable
 		return d.announce(OperationFence, OperationData{TimeoutMillis: max(minTimeoutMillis, min(d.plan.FenceWaitMillis, remaining))})
 	case observed.SlotLost || observed.TargetAhead:
 		return d.announce(OperationReopen, OperationData{Reason: "the other home can't follow any more: it has to be copied anew"})
--- a/internal/cluster/migration/phase.go
+++ b/internal/cluster/migration/phase.go
@@ -7,25 +7,25 @@
 const (
 	// PhasePlanned: the plan is valid, and the migration waits until the scheduler lets it start.
 	PhasePlanned Phase = "planned"
-	// PhaseChecked: nothing at either group stands in the way; nothing was changed yet but for the publication.
+	// PhaseChecked: the check found no obstacle at either group. At most the fences and the publication were created.
 	PhaseChecked Phase = "checked"
-	// PhaseCopying: the target subscribes to the source, and tables are handed over to it in turn.
+	// PhaseCopying: the target is subscribed to the source, and tables are added to the subscription in batches.
 	PhaseCopying Phase = "copying"
 	// PhaseCatchingUp: all tables are copied; changes are replicated and ranges of keys compared.
 	PhaseCatchingUp Phase = "catching up"
 	// PhaseFencing: the rules pause the tenant, running writers end, and the source is then fenced.
 	PhaseFencing Phase = "closing"
-	// PhaseVerifying: the source is fenced; the target has to have all of it, which is verified.
+	// PhaseVerifying: the source is fenced. The target applies the remaining writes and is compared with the source.
 	PhaseVerifying Phase = "verifying"
 	// PhaseSwitched: the target serves the tenant and is replicated back to the group that served it before.
 	PhaseSwitched Phase = "switched"
-	// PhaseAccepted: an operator ended the way back.
+	// PhaseAccepted: an operator accepted the migration; it can no longer be rolled back.
 	PhaseAccepted Phase = "accepted"
-	// PhaseCompleted: what the migration built is removed. Final.
+	// PhaseCompleted: what the migration created is removed. This phase is final.
 	PhaseCompleted Phase = "done"
-	// PhaseCleaningUp: the migration is rolled back, and what it built is being removed.
+	// PhaseCleaningUp: the migration is rolled back, and what it created is being removed.
 	PhaseCleaningUp Phase = "clearing"
-	// PhaseRolledBack: the tenant is where it was. Final.
+	// PhaseRolledBack: the plan's From serves the tenant as before. This phase is final.
 	PhaseRolledBack Phase = "taken back"
 )
 
@@ -35,7 +35,7 @@
 	PhaseAccepted, PhaseCompleted, PhaseCleaningUp, PhaseRolledBack,
 }
 
-// rollbackEffects say for each phase what a rollback means there. docs/moves.md repeats them.
+// rollbackEffects describe the effect of a rollback in each phase. docs/moves.md repeats these texts.
 var rollbackEffects = map[Phase]string{
 	PhasePlanned:    "nothing was begun: the move ends",
 	PhaseChecked:    "nothing was changed: the move ends",
@@ -51,7 +51,7 @@
 	PhaseRolledBack: "it was taken back",
 }
 
-// RollbackEffect says, for operators, what a rollback means in a phase.
+// RollbackEffect describes, for operators, the effect of a rollback in a phase.
 func (p Phase) RollbackEffect() string { return rollbackEffects[p] }
 
 // isPaused reports whether the tenant's writes are paused in a phase.
--- a/internal/cluster/migration/phase_test.go
+++ b/internal/cluster/migration/phase_test.go
@@ -9,7 +9,7 @@
 
 func TestTransitionTable(t *testing.T) {
 	require.Len(t, transitions, len(operations))
-	require.Len(t, applications, len(operations))
+	require.Len(t, outcomeAppliers, len(operations))
 	final := []Phase{PhaseCompleted, PhaseRolledBack}
 	for _, phase := range Phases {
 		isLeft, isReached := false, phase == PhasePlanned
--- a/internal/cluster/migration/plan.go
+++ b/internal/cluster/migration/plan.go
@@ -10,65 +10,65 @@
 	"strings"
 )
 
-// JobKind names migrations among the kinds of jobs. It is stored in the replicated log.
+// JobKind is the kind of a migration's job. It is stored in the replicated log.
 const JobKind = "move"
 
 // Group is a group of database hosts, by its number in the agreed rules.
 type Group = uint64
 
-// Plan is a migration as an operator asked for it. The JSON keys are those of the first release.
+// Plan is a migration as an operator ordered it. The JSON keys are fixed, since plans are stored in the replicated log.
 type Plan struct {
 	Tenant string `json:"tenant"`
 	From   Group  `json:"from"`
 	To     Group  `json:"to"`
 	// MaxPauseMillis bounds each pause of the tenant's writes.
 	MaxPauseMillis float64 `json:"pause_ms"`
-	// FenceWaitMillis is for how long one attempt to fence waits for running writers.
+	// FenceWaitMillis is how long one attempt to fence waits for running writers.
 	FenceWaitMillis float64 `json:"lock_ms,omitempty"`
-	// MaxAbortedPauses is how many pauses may be aborted before an operator has to resume.
+	// MaxAbortedPauses is the number of aborted pauses after which an operator has to resume the migration.
 	MaxAbortedPauses int `json:"tries,omitempty"`
-	// BackoffMillis is the least time between two pauses.
+	// BackoffMillis is the minimum time between two pauses.
 	BackoffMillis float64 `json:"rest_ms,omitempty"`
-	// Checkpoints are where the migration waits for an operator's approval.
+	// Checkpoints are the places where the migration waits for an operator's approval.
 	Checkpoints []Checkpoint `json:"checkpoints,omitempty"`
 	// BlockingSessions is BlockingSessionsWait or BlockingSessionsEnd.
 	BlockingSessions string `json:"stragglers,omitempty"`
-	// MaxRowsPerSecond bounds the copy; 0: the cost model's figure alone does.
+	// MaxRowsPerSecond bounds the rate of the copy; 0 if only the RateLimiter does.
 	MaxRowsPerSecond float64 `json:"pace,omitempty"`
 	// SampledQueries is how many of the tenant's own queries are replayed at both groups before the switch.
 	SampledQueries int `json:"reads,omitempty"`
 	// OldCopy is OldCopyKeep or OldCopyDrop.
 	OldCopy string `json:"old,omitempty"`
-	// Priority orders planned migrations: the greater starts first.
+	// Priority orders planned migrations: the one with the greatest priority starts first.
 	Priority float64 `json:"need,omitempty"`
 }
 
 // Checkpoint is a place in a migration where it waits for an operator's approval, if its plan says so.
 type Checkpoint string
 
-// The checkpoints. CheckpointAccepting is part of every plan: only an operator ends the way back.
+// The checkpoints. CheckpointAccepting is part of every plan, because only an operator ends the replication back.
 const (
-	// CheckpointChecked comes before anything is built.
+	// CheckpointChecked comes before the migration creates anything.
 	CheckpointChecked Checkpoint = "checked"
 	// CheckpointFencing comes before the tenant is paused.
 	CheckpointFencing Checkpoint = "closing"
 	// CheckpointSwitching comes before the target serves the tenant.
 	CheckpointSwitching Checkpoint = "switching"
-	// CheckpointAccepting comes before the way back ends.
+	// CheckpointAccepting comes before the replication back ends.
 	CheckpointAccepting Checkpoint = "accepting"
 )
 
 var checkpoints = []Checkpoint{CheckpointChecked, CheckpointFencing, CheckpointSwitching, CheckpointAccepting}
 
-// What a fence does about sessions that hold it up.
+// What a fence does about sessions that block it.
 const (
-	BlockingSessionsWait = "wait" // waits for them again
-	BlockingSessionsEnd  = "end"  // terminates them after the first attempt
+	BlockingSessionsWait = "wait" // waits for the sessions to end
+	BlockingSessionsEnd  = "end"  // terminates the sessions after the first attempt
 )
 
-// What becomes of the copy that served the tenant before, once the migration is accepted.
+// What happens to the previous group's copy of the tenant once the migration is accepted.
 const (
-	OldCopyKeep = "keep" // stays, fenced
+	OldCopyKeep = "keep" // the copy stays and remains fenced
 	OldCopyDrop = "drop"
 )
 
@@ -80,28 +80,28 @@
 	ActionPause = "pause"
 	// ActionResume ends a hold.
 	ActionResume = "resume"
-	// ActionRollback takes the migration back.
+	// ActionRollback rolls the migration back.
 	ActionRollback = "rollback"
-	// ActionAccept ends the way back.
+	// ActionAccept ends the replication back, after which the migration can't be rolled back.
 	ActionAccept = "accept"
 )
 
 // Defaults and bounds of a plan's values.
 const (
 	defaultMaxAbortedPauses = 3
-	// defaultFenceWaitShare is FenceWaitMillis as a part of MaxPauseMillis.
+	// defaultFenceWaitShare divides MaxPauseMillis to give the default of FenceWaitMillis.
 	defaultFenceWaitShare = 10
-	// defaultBackoffFactor is BackoffMillis in multiples of MaxPauseMillis, so that a tenant that is paused again and
-	// again is paused a tenth of the time at most.
+	// defaultBackoffFactor is the default of BackoffMillis in multiples of MaxPauseMillis. With 10, a tenant that is paused
+	// repeatedly is paused for at most a tenth of the time.
 	defaultBackoffFactor = 10
 
-	maxPauseMillis   = 10 * 60 * 1000 // who can wait longer needs no migration under load
-	maxTenantBytes   = 63             // of a database's name in PostgreSQL
+	maxPauseMillis   = 10 * 60 * 1000 // a tenant that can be paused for longer needs no migration under load
+	maxTenantBytes   = 63             // the longest database name in PostgreSQL
 	maxAbortedPauses = 100
-	maxRate          = 1e9 // of rows/s, queries and priority
+	maxRate          = 1e9 // bounds the rows per second, the sampled queries and the priority
 )
 
-// ParsePlan reads a plan, sets the defaults and reports all that is wrong with it, each as a *PlanError.
+// ParsePlan reads a plan, sets the defaults and reports every error in it, each as a *PlanError.
 func ParsePlan(text []byte, timing Timing) (Plan, error) {
 	plan, err := decodePlan(text)
 	if err != nil {
@@ -110,7 +110,7 @@
 	return plan, plan.validate(timing)
 }
 
-// decodePlan reads a plan without validating it: one in the log was validated when it got there.
+// decodePlan reads a plan without validating it. A plan in the log was validated before it was stored.
 func decodePlan(text []byte) (plan Plan, err error) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.DisallowUnknownFields()
@@ -124,10 +124,10 @@
 	return plan, nil
 }
 
-// wholePlan stands for the key where no single one is at fault.
+// wholePlan stands for the key in errors that concern no single key.
 const wholePlan = "plan"
 
-// malformedKey returns the key that a decoding error is about.
+// malformedKey returns the key that a decoding error concerns.
 func malformedKey(err error) string {
 	var mismatch *json.UnmarshalTypeError
 	if errors.As(err, &mismatch) && mismatch.Field != "" {
@@ -161,14 +161,14 @@
 	}
 }
 
-// planErrors collects what is wrong with a plan.
+// planErrors collects the errors in a plan.
 type planErrors []error
 
 func (e *planErrors) add(key string, value any, detail string, args ...any) {
 	*e = append(*e, &PlanError{Key: key, Value: value, Detail: fmt.Sprintf(detail, args...)})
 }
 
-// validate reports all that is wrong, in alphabetical order.
+// validate reports every error in the plan, sorted by text.
 func (p *Plan) validate(timing Timing) error {
 	var found planErrors
 	p.validateGroups(&found)
@@ -243,7 +243,7 @@
 // waitsAt reports whether the plan waits for an approval at a checkpoint.
 func (p *Plan) waitsAt(checkpoint Checkpoint) bool { return slices.Contains(p.Checkpoints, checkpoint) }
 
-// groupKey and pausedKey are the keys of the agreed rules that a migration changes, and nothing else does while it is
-// open.
+// groupKey and pausedKey return the keys of the agreed rules that a migration changes. Nothing else changes these keys
+// while the migration is open.
 func (p *Plan) groupKey() string  { return "database." + p.Tenant + ".group" }
 func (p *Plan) pausedKey() string { return "database." + p.Tenant + ".paused" }
--- a/internal/cluster/migration/sanitize.go
+++ b/internal/cluster/migration/sanitize.go
@@ -2,20 +2,21 @@
 
 import "strings"
 
-// Bounds of what a state holds; with all lists full it is below jobs' bound.
+// Bounds of the lists and texts in a state. A state with all lists full stays below the size limit of package jobs.
 const (
-	maxListed      = 8   // entries of each list
-	maxTextBytes   = 100 // of each text in them
-	maxCursorBytes = 600 // of a position in a copy or comparison: two names and a key, quoted
+	maxListed      = 8   // maximum entries of each list
+	maxTextBytes   = 100 // maximum length of each text in a list
+	maxCursorBytes = 600 // maximum length of a position in a copy or comparison: two names and a key, quoted
 )
 
-// retainLatest leaves the last entries of a list.
+// retainLatest returns the last maxListed entries of a list.
 func retainLatest[T any](all []T) []T { return all[max(0, len(all)-maxListed):] }
 
-// retainFirst leaves the first entries of a list.
+// retainFirst returns the first maxListed entries of a list.
 func retainFirst[T any](all []T) []T { return all[:min(len(all), maxListed)] }
 
-// sanitize shortens a text for the log and replaces whatever JSON would escape, so that its encoded length is known.
+// sanitize truncates a text for the log and replaces all characters that JSON would escape, so that its encoded length is
+// bounded.
 func sanitize(text string) string {
 	text = strings.Map(func(r rune) rune {
 		if r < ' ' || r > '~' || strings.ContainsRune("<>&\"\\", r) {
--- a/internal/cluster/migration/schedule.go
+++ b/internal/cluster/migration/schedule.go
@@ -9,7 +9,8 @@
 	"ashstand/internal/cluster/jobs"
 )
 
-// ConcurrencyLimits are how many migrations may run at once in the fleet and at each group, host and zone; 0: any number.
+// ConcurrencyLimits bound how many migrations may run at once in the fleet and at each group, host and zone; 0 means no
+// limit.
 type ConcurrencyLimits struct {
 	Total    int
 	PerGroup int
@@ -22,15 +23,15 @@
 	Job      string
 	Tenant   string
 	Groups   []Group
-	Hosts    []string // of the groups' primaries
+	Hosts    []string // of the groups' database hosts
 	Zones    []string
 	Priority float64
 	Running  bool
 }
 
-// Schedule returns for each migration that does not run why it may not start yet; empty: it may. The greatest priority
-// comes first, and the name decides between equal ones. One that has to wait reserves its capacity, so that none of lower
-// priority takes it meanwhile. No tenant has two migrations.
+// Schedule returns, for each migration that does not run, why it may not start yet, or an empty reason if it may start.
+// Migrations are considered by descending priority, and equal priorities by name. One that has to wait reserves its
+// capacity, so that a migration of lower priority can't take it in the meantime. A tenant never has two migrations.
 func Schedule(candidates []Candidate, limits ConcurrencyLimits) map[string]string {
 	ordered := slices.Clone(candidates)
 	slices.SortFunc(ordered, func(a, b Candidate) int {
@@ -56,11 +57,12 @@
 // capacityUsage counts reservations against the limits.
 type capacityUsage struct {
 	limits      ConcurrencyLimits
-	reserved    map[string]int // by the keys of limitsOf
+	reserved    map[string]int // by the keys that limitsOf returns
 	jobByTenant map[string]string
 }
 
-// limitsOf returns what a candidate takes up, each with its limit. The empty key stands for the fleet.
+// limitsOf returns the limit of each resource (fleet, groups, hosts, zones) that a candidate uses. The empty key stands
+// for the fleet.
 func (u *capacityUsage) limitsOf(candidate Candidate) map[string]int {
 	limits := map[string]int{"": u.limits.Total}
 	for _, group := range candidate.Groups {
@@ -84,7 +86,7 @@
 	}
 }
 
-// waitReason says why a candidate may not start; empty: it may.
+// waitReason returns why a candidate may not start, or an empty reason if it may.
 func (u *capacityUsage) waitReason(candidate Candidate) string {
 	if job := u.jobByTenant[candidate.Tenant]; job != "" {
 		return "tenant " + candidate.Tenant + " is moved by " + job
@@ -101,8 +103,8 @@
 // Topology returns the hosts and zones of a group's primary and standbys.
 type Topology func(Group) (hosts, zones []string)
 
-// Candidates returns the open migrations of the replicated log. Whatever was begun counts as running, also while it waits
-// for an approval.
+// Candidates returns the open migrations of the replicated log. A migration that was started counts as running, even
+// while it waits for an approval.
 func Candidates(log *jobs.StateMachine, kind string, topology Topology) (out []Candidate) {
 	for _, name := range log.OpenJobs() {
 		job := log.Jobs[name]
--- a/internal/cluster/migration/verification.go
+++ b/internal/cluster/migration/verification.go
@@ -5,29 +5,29 @@
 	"strings"
 )
 
-// Difference is a part of a tenant that is not the same at both groups. It is an error with a code and advice.
+// Difference is a part of a tenant that differs between the groups. It is an error with a code and advice.
 type Difference struct {
-	Kind   string `json:"kind"` // rows, count, sequence or read
+	Kind   string `json:"kind"` // rows, count, sequence or read (a sampled query)
 	Table  string `json:"table,omitempty"`
 	Range  string `json:"range,omitempty"` // of keys
-	Source string `json:"home,omitempty"`  // digest, count or value there
+	Source string `json:"home,omitempty"`  // digest, count or value at the source
 	Target string `json:"other,omitempty"`
 }
 
-// Error names the part and what each group holds.
+// Error names the part that differs and its value at each group.
 func (d *Difference) Error() string {
 	return fmt.Sprintf("%s of %s %s differ: %s at the home, %s at the other", d.Kind, d.Table, d.Range, d.Source, d.Target)
 }
 
-// Code is the reason.
+// Code returns the error code.
 func (d *Difference) Code() string { return "verify_differs" }
 
-// Advice says what an operator can do.
+// Advice describes what an operator can do.
 func (d *Difference) Advice() string {
 	return "find out who wrote at the other home, then resume: it is copied anew; or rollback"
 }
 
-// BlockingSession is a session that holds a fence up, or that is bound to its connection and would lose by the switch.
+// BlockingSession is a session that blocks a fence, or that has state bound to its connection which a switch would lose.
 // It is an error with a code and advice.
 type BlockingSession struct {
 	PID  int    `json:"pid"`
@@ -41,15 +41,15 @@
 	return fmt.Sprintf("session %d of %s holds the closing up: %s, for %s", s.PID, s.User, s.Kind, s.Age)
 }
 
-// Code is the reason.
+// Code returns the error code.
 func (s *BlockingSession) Code() string { return "straggler" }
 
-// Advice says what an operator can do.
+// Advice describes what an operator can do.
 func (s *BlockingSession) Advice() string {
 	return "wait for it, end it with pg_terminate_backend, or order the move with stragglers = end"
 }
 
-// joinErrors puts the texts of errors into one line.
+// joinErrors joins the texts of errors into one line.
 func joinErrors[E error](all []E) string {
 	texts := make([]string, 0, len(all))
 	for _, err := range all {
