--- a/internal/cluster/migration/golden_test.go
+++ b/internal/cluster/migration/golden_test.go
@@ -16,8 +16,8 @@
 	"ashstand/internal/cluster/jobs"
 )
 
-// The files under testdata/golden were written by the version before the renaming of issue 33. Later versions have to
-// write and read the same bytes, since they stand in the agreed log and in voters' folders.
+// The files under testdata/golden were written by the version before the renaming of issue 33. Every version has to write
+// and read the same bytes, since they are stored in the replicated log and in the voters' data directories.
 var updateGolden = flag.Bool("update-golden", false, "write the files under testdata/golden anew")
 
 // requireGolden compares bytes with a committed file.
@@ -99,7 +99,7 @@
 	}
 }
 
-// operations are the names of all of them.
+// operations lists all operations.
 var operations = []Operation{
 	OperationCheck, OperationPublish, OperationSubscribe, OperationCopy, OperationTrack, OperationCompare, OperationPause, OperationFence, OperationVerify, OperationSwitch, OperationReplicateBack, OperationReopen,
 	OperationAccept, OperationFinish, OperationCleanUp, OperationCancel, OperationHold, OperationResume, OperationRollBack, OperationDiscardApproval,
@@ -119,9 +119,9 @@
 	}
 }
 
-// Each operation: its data as announced, and the state and the end as its proof says.
+// For each operation, compares its announced data and its result: the new state, and whether and why the job finished.
 func TestGoldenOperations(t *testing.T) {
-	r := outcome{
+	result := outcome{
 		Recovery: Recovery{
 			Done: true, Timelines: Timelines{3, 4}, Copied: CopyResult{LastTable: "public.b", Rows: 400, Complete: true},
 			Compared: ComparisonResult{LastRange: "public.b 9", Complete: true, EqualRanges: 3, ChangedRanges: 1, Differences: []Difference{{Kind: "rows", Table: "public.b", Range: "9 to the end", Source: "1 rows, aa", Target: "0 rows, 00"}}},
@@ -133,24 +133,24 @@
 		t.Run(string(name), func(t *testing.T) {
 			data, err := json.Marshal(filledData())
 			require.NoError(t, err)
-			proof, err := applyOutcome(Request{Plan: filledPlan(), Job: "orders-to-2", Token: 6, Number: 21, Operation: name, AnnouncedToken: 5, State: filledState(PhaseVerifying), Data: filledData()}, r)
+			applied, err := applyOutcome(Request{Plan: filledPlan(), Job: "orders-to-2", Token: 6, Number: 21, Operation: name, AnnouncedToken: 5, State: filledState(PhaseVerifying), Data: filledData()}, result)
 			require.NoError(t, err)
 			var state State
-			require.NoError(t, json.Unmarshal(proof.State, &state))
+			require.NoError(t, json.Unmarshal(applied.State, &state))
 			again, err := json.Marshal(state)
 			require.NoError(t, err)
-			require.Equal(t, string(proof.State), string(again))
+			require.Equal(t, string(applied.State), string(again))
 			requireGoldenJSON(t, "operation-"+string(name)+".json", struct {
-				Data  json.RawMessage `json:"data"`
-				State json.RawMessage `json:"state"`
-				Ended bool            `json:"ended"`
-				Why   string          `json:"why"`
-			}{data, proof.State, proof.Finished, proof.Reason})
+				Data         json.RawMessage `json:"data"`
+				State        json.RawMessage `json:"state"`
+				Ended        bool            `json:"ended"`
+				FinishReason string          `json:"why"`
+			}{data, applied.State, applied.Finished, applied.Reason})
 		})
 	}
 }
 
-// What the database hosts return, where a copy and a comparison go on, and what is found there.
+// Compares the encoding of the checkpoints in a state and of the results that the database hosts return.
 func TestGoldenResults(t *testing.T) {
 	s := filledState(PhaseVerifying)
 	requireGoldenJSON(t, "checkpoint-copy.json", s.Copy)
@@ -178,45 +178,45 @@
 	requireGolden(t, "digest.txt", out.Bytes())
 }
 
-// goldenCases is how many decisions stand in decisions.jsonl.
+// goldenCases is the number of decisions in decisions.jsonl.
 const goldenCases = 600
 
-// What is decided in states drawn from a fixed seed, with what is waited for and what each approval would do.
+// Compares the decisions in random states from a fixed seed, including wait reasons and the effect of each approval.
 func TestGoldenDecisions(t *testing.T) {
 	random := rand.New(rand.NewPCG(33, 1))
-	yes := func() bool { return random.IntN(2) == 0 }
+	randomBool := func() bool { return random.IntN(2) == 0 }
 	var out bytes.Buffer
 	for range goldenCases {
 		s := State{
-			Phase: Phases[random.IntN(len(Phases))], Published: yes(), ReverseReplicating: yes(), RecopyRequired: random.IntN(8) == 0, FailedOver: yes(), Timelines: Timelines{1 + random.IntN(2), 1},
-			Comparison: ComparisonCheckpoint{Complete: yes(), Started: LeaseTime{999_000, 5}}, Copy: CopyCheckpoint{Complete: yes(), BatchRows: 3000, BatchStarted: LeaseTime{998_000, jobs.FencingToken(4 + random.IntN(2))}}, AbortedPauses: random.IntN(3), LastAbort: LeaseTime{999_500, 5},
+			Phase: Phases[random.IntN(len(Phases))], Published: randomBool(), ReverseReplicating: randomBool(), RecopyRequired: random.IntN(8) == 0, FailedOver: randomBool(), Timelines: Timelines{1 + random.IntN(2), 1},
+			Comparison: ComparisonCheckpoint{Complete: randomBool(), Started: LeaseTime{999_000, 5}}, Copy: CopyCheckpoint{Complete: randomBool(), BatchRows: 3000, BatchStarted: LeaseTime{998_000, jobs.FencingToken(4 + random.IntN(2))}}, AbortedPauses: random.IntN(3), LastAbort: LeaseTime{999_500, 5},
 		}
 		if random.IntN(4) == 0 {
 			s.RollbackReason = "an operator said rollback"
 		}
 		if s.Phase == PhaseFencing || s.Phase == PhaseVerifying {
-			s.Reverse, s.Pause = yes(), &Pause{Started: LeaseTime{1e6 - float64(random.IntN(4000)), jobs.FencingToken(4 + min(1, random.IntN(4)))}, RulesVersion: 3, FenceAttempts: random.IntN(2)}
+			s.Reverse, s.Pause = randomBool(), &Pause{Started: LeaseTime{1e6 - float64(random.IntN(4000)), jobs.FencingToken(4 + min(1, random.IntN(4)))}, RulesVersion: 3, FenceAttempts: random.IntN(2)}
 			if s.Phase == PhaseVerifying {
-				s.Pause.Fence, s.Pause.Verified = &FencePoint{Timeline: 1, LSN: 500}, yes()
+				s.Pause.Fence, s.Pause.Verified = &FencePoint{Timeline: 1, LSN: 500}, randomBool()
 			}
 			if random.IntN(4) == 0 {
 				s.Differences = filledState(PhaseVerifying).Differences
 			}
-			if yes() {
+			if randomBool() {
 				s.BlockingSessions = filledState(PhaseVerifying).BlockingSessions
 			}
 		} else if random.IntN(4) == 0 {
 			s.HoldReason = "the check refuses"
 		}
-		var word *jobs.Approval
-		if yes() {
-			say := []string{ActionGo, ActionPause, ActionResume, ActionRollback, ActionAccept, "other"}[random.IntN(6)]
-			word = &jobs.Approval{Action: say, By: "op", Step: uint64(8 + random.IntN(2)), Persistent: say == ActionRollback}
+		var approval *jobs.Approval
+		if randomBool() {
+			action := []string{ActionGo, ActionPause, ActionResume, ActionRollback, ActionAccept, "other"}[random.IntN(6)]
+			approval = &jobs.Approval{Action: action, By: "op", Step: uint64(8 + random.IntN(2)), Persistent: action == ActionRollback}
 		}
-		var seen any
+		var observation any
 		if random.IntN(8) > 0 {
-			seen = &Observation{
-				Step: 9, Version: 2 + random.IntN(3), InForce: random.IntN(4) > 0, Paused: random.IntN(4) > 0, MayStart: yes(), WaitReason: "group 2 has 2 of 2 moves", RowsPerSecond: float64(random.IntN(3) * 500),
+			observation = &Observation{
+				Step: 9, Version: 2 + random.IntN(3), InForce: random.IntN(4) > 0, Paused: random.IntN(4) > 0, MayStart: randomBool(), WaitReason: "group 2 has 2 of 2 moves", RowsPerSecond: float64(random.IntN(3) * 500),
 				ReplicationStatus: ReplicationStatus{
 					Reachable: random.IntN(8) > 0, Timelines: Timelines{1 + random.IntN(2), 1}, AppliedLSN: LSN(499 + random.IntN(2)), TablesCopied: random.IntN(4) > 0,
 					SlotLost: random.IntN(8) == 0, TargetAhead: random.IntN(8) == 0, TrackingLost: random.IntN(8) == 0, TargetUnfenced: random.IntN(4) == 0,
@@ -227,15 +227,15 @@
 		state, err := json.Marshal(s)
 		require.NoError(t, err)
 		m := &Migrator{Timing: testTiming}
-		step := m.Next(1e6, &jobs.Job{Name: "w", Kind: JobKind, Spec: json.RawMessage(testPlan), Token: 5, Step: 9, State: state, Approval: word}, seen)
+		decision := m.Next(1e6, &jobs.Job{Name: "w", Kind: JobKind, Spec: json.RawMessage(testPlan), Token: 5, Step: 9, State: state, Approval: approval}, observation)
 		line, err := json.Marshal(struct {
-			Operation string                `json:"operation"`
-			Data      json.RawMessage       `json:"data"`
-			Word      *jobs.Approval        `json:"word"`
-			Wait      float64               `json:"wait"`
-			Why       string                `json:"why"`
-			Says      []jobs.ApprovalOption `json:"says"`
-		}{step.OperationName, step.Data, step.Approval, step.RetryAfterMillis, step.Reason, step.Options})
+			Operation  string                `json:"operation"`
+			Data       json.RawMessage       `json:"data"`
+			Approval   *jobs.Approval        `json:"word"`
+			Wait       float64               `json:"wait"`
+			WaitReason string                `json:"why"`
+			Options    []jobs.ApprovalOption `json:"says"`
+		}{decision.OperationName, decision.Data, decision.Approval, decision.RetryAfterMillis, decision.Reason, decision.Options})
 		require.NoError(t, err)
 		out.Write(append(line, '\n'))
 	}
--- a/internal/cluster/migration/phase_test.go
+++ b/internal/cluster/migration/phase_test.go
@@ -15,7 +15,7 @@
 		isLeft, isReached := false, phase == PhasePlanned
 		for operation, transition := range transitions {
 			if operation == OperationDiscardApproval {
-				continue // it is allowed in any phase and leaves it as it is
+				continue // allowed in every phase, and does not change it
 			}
 			if operation.AllowedIn(phase) && slices.ContainsFunc(transition.to, func(to Phase) bool { return to != phase }) {
 				isLeft = true
--- a/internal/cluster/migration/schedule_test.go
+++ b/internal/cluster/migration/schedule_test.go
@@ -15,10 +15,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Candidate
 		for i := range rapid.IntRange(1, 12).Draw(t, "moves") {
-			n := func(what string, most int) int { return rapid.IntRange(1, most).Draw(t, what) }
+			drawInt := func(what string, most int) int { return rapid.IntRange(1, most).Draw(t, what) }
 			all = append(all, Candidate{
-				Job: fmt.Sprint("w", i), Tenant: fmt.Sprint("t", n("tenant", 6)), Priority: float64(n("need", 3)),
-				Groups: []Group{Group(n("from", 3)), Group(n("to", 3) + 3)}, Hosts: []string{fmt.Sprint(n("host", 4))}, Zones: []string{fmt.Sprint(n("zone", 2))},
+				Job: fmt.Sprint("w", i), Tenant: fmt.Sprint("t", drawInt("tenant", 6)), Priority: float64(drawInt("need", 3)),
+				Groups: []Group{Group(drawInt("from", 3)), Group(drawInt("to", 3) + 3)}, Hosts: []string{fmt.Sprint(drawInt("host", 4))}, Zones: []string{fmt.Sprint(drawInt("zone", 2))},
 			})
 		}
 		l := ConcurrencyLimits{
@@ -58,7 +58,7 @@
 			for _, n := range zones {
 				require.False(t, over(n, l.PerZone))
 			}
-			var left []Candidate // all that ran have ended
+			var left []Candidate // all running migrations have ended
 			for _, c := range all {
 				if !c.Running {
 					left = append(left, c)
