--- a/internal/cluster/migration/phase_test.go
+++ b/internal/cluster/migration/phase_test.go
@@ -9,13 +9,13 @@
 
 func TestTransitionTable(t *testing.T) {
 	require.Len(t, transitions, len(operations))
-	require.Len(t, applications, len(operations))
+	require.Len(t, outcomeAppliers, len(operations))
 	final := []Phase{PhaseCompleted, PhaseRolledBack}
 	for _, phase := range Phases {
 		isLeft, isReached := false, phase == PhasePlanned
 		for operation, transition := range transitions {
 			if operation == OperationDiscardApproval {
-				continue // it is allowed in any phase and leaves it as it is
+				continue // allowed in every phase, and does not change it
 			}
 			if operation.AllowedIn(phase) && slices.ContainsFunc(transition.to, func(to Phase) bool { return to != phase }) {
 				isLeft = true
