--- a/internal/net/loop/descriptors.go
+++ b/internal/net/loop/descriptors.go
@@ -22,21 +22,21 @@
 
 func (neverEqualError) Error() string { return "accept failed" }
 
-// gnet ends an event loop whose accept failed with ErrAcceptSocket, whatever the reason, and all its connections with it. A
-// process that is out of descriptors for a moment has to go on. The library has no setting for it, but compares with this
-// variable of its own; what is done instead is in acceptFailed.
+// gnet ends an event loop, and closes all its connections, when accept fails with ErrAcceptSocket, whatever the reason. A process
+// that is out of descriptors for a moment has to keep running. gnet has no setting for this, but it compares the error with this
+// exported variable: a value that equals no error keeps the event loop alive. acceptFailed handles the failure instead.
 func init() { gneterrors.ErrAcceptSocket = neverEqualError{} }
 
-// ExhaustionPolicy is what a front does while the process has no descriptor left. Both functions are called on the event loop
-// and may be nil.
+// ExhaustionPolicy defines what a front does while the process has no free descriptor. Both functions are called on the event
+// loop and may be nil.
 type ExhaustionPolicy struct {
-	// EvictClient closes the connection that is missed least and reports whether there was one.
+	// EvictClient closes the least important client connection and reports whether there was one.
 	EvictClient func() bool
-	// Reject returns what to write to a connection that can't stay.
+	// Reject returns what to write to an accepted connection before it is closed for lack of descriptors.
 	Reject func(c gnet.Conn) []byte
 }
 
-// descriptorReserve keeps descriptors open.
+// descriptorReserve keeps descriptors open so that they can be released when the process has no free one.
 type descriptorReserve struct {
 	mu          sync.Mutex // guards descriptors
 	descriptors []int
@@ -56,7 +56,7 @@
 	return true
 }
 
-// release closes a descriptor, if there are more than least, and reports whether it did.
+// release closes a descriptor if the reserve holds more than least, and reports whether it did.
 func (r *descriptorReserve) release(least int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -68,7 +68,7 @@
 	return true
 }
 
-// releaseAll closes all.
+// releaseAll closes every descriptor of the reserve.
 func (r *descriptorReserve) releaseAll() {
 	for r.release(0) {
 	}
@@ -79,9 +79,10 @@
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
 
-// acceptFailed is called on the event loop when accept failed. The connection still waits, and the event loop accepts again at
-// once: a descriptor is released for it here, by evicting a client before one of the reserve. Where there is neither, the event
-// loop waits for a moment rather than accept a hundred thousand times a second. Without its listener the engine ends.
+// acceptFailed is called on the event loop when accept has failed. If no descriptor was free, the connection is still in the
+// listen queue and the event loop accepts again at once. acceptFailed frees a descriptor for it: it evicts a client, or else
+// releases a descriptor of the reserve. If neither is possible, it sleeps for acceptRetryDelay, as the event loop would otherwise
+// call accept a hundred thousand times a second. If the listening socket itself is unusable, the engine stops.
 func (e *Engine) acceptFailed(err error) {
 	switch {
 	case errors.Is(err, syscall.EBADF), errors.Is(err, syscall.EINVAL), errors.Is(err, syscall.ENOTSOCK):
@@ -97,8 +98,8 @@
 	time.Sleep(acceptRetryDelay)
 }
 
-// admit reports whether an accepted connection can stay: it can't on a descriptor of the reserve. Then reply is what to write
-// to it.
+// admit reports whether an accepted connection may stay open. It may not if the reserve can't be refilled, because the connection
+// then uses a descriptor of the reserve; reply is what to write to it before it is closed.
 func (e *Engine) admit(c gnet.Conn) (reply []byte, ok bool) {
 	for !e.reserve.fill() {
 		if e.Exhaustion.EvictClient == nil || !e.Exhaustion.EvictClient() {
@@ -111,13 +112,13 @@
 	return nil, true
 }
 
-// acceptLogger is the library's logger, from which the engine learns of an accept that failed.
+// acceptLogger is gnet's logger. gnet reports a failed accept only in its log, so the engine detects it there.
 type acceptLogger struct {
 	errorLogger
 	engine *Engine
 }
 
-// Errorf is called on the event loop where accept failed.
+// Errorf is called on the event loop when accept has failed, and for gnet's other errors.
 func (l acceptLogger) Errorf(f string, a ...any) {
 	if len(a) == 1 && strings.HasPrefix(f, "Accept()") {
 		if err, ok := a[0].(error); ok {
--- a/internal/net/loop/engine.go
+++ b/internal/net/loop/engine.go
@@ -1,8 +1,9 @@
-// Package loop runs the event loop that serves every socket but gRPC's: client connections that are accepted, and connections
-// to database hosts and discovery that are dialed on other goroutines and registered here.
+// Package loop runs the event loop that serves every socket but gRPC's: accepted client connections, and connections to database
+// hosts and discovery, which are dialed on other goroutines and registered with the event loop.
 //
-// There is one event loop, so handlers share state without locks; in return they must not block. The engine survives a lack of
-// file descriptors: it keeps a few in reserve, and asks the front to evict a client or to reject the next one.
+// There is one event loop, so handlers share state without locks; in return they must not block. The engine keeps running when
+// the process is out of file descriptors: it keeps a few in reserve, and asks the front to evict a client or to reject the next
+// one.
 package loop
 
 import (
@@ -31,28 +32,29 @@
 	Closed(c gnet.Conn, err error)
 }
 
-// Accept makes the handler of an accepted connection, with what to write to it at once; a nil handler rejects the connection.
-// It runs on the event loop.
+// Accept returns the handler of an accepted connection and the bytes to write to it at once. A nil handler rejects the connection.
+// Accept runs on the event loop.
 type Accept = func(c gnet.Conn) (Handler, []byte, gnet.Action)
 
-// MaxRegistrations is how many connections are being registered at once, at most. Each uses two descriptors meanwhile.
+// MaxRegistrations is the maximum number of connections that are being registered at once. Each uses two descriptors meanwhile.
 const MaxRegistrations = 4
 
 const (
 	stopTimeout     = time.Second
 	readBufferSize  = 64 << 10
 	writeBufferSize = 16 << 10
-	tickInterval    = time.Hour // of a tick that does nothing: gnet calls the first one once its loops run
+	// tickInterval is long because only the first tick matters: gnet calls it once its event loops run.
+	tickInterval = time.Hour
 )
 
-// Engine is the listeners and their event loop. Start runs it; Stop closes all its connections.
+// Engine holds the listeners and their event loop. Start runs it; Stop closes all its connections.
 type Engine struct {
 	gnet.BuiltinEventEngine
-	// Exhaustion is what to do while no descriptor is free. It must be set before Start.
+	// Exhaustion defines what to do while no descriptor is free. It must be set before Start.
 	Exhaustion ExhaustionPolicy
 
 	accept        Accept
-	listeners     map[string]Accept // by further address
+	listeners     map[string]Accept // the listeners of AddListener, by address
 	engine        gnet.Engine
 	started       chan struct{} // closed once the event loop runs
 	startedOnce   sync.Once
@@ -64,7 +66,7 @@
 	listenerLost  sync.Once
 }
 
-// errorLogger limits the library's log to errors.
+// errorLogger limits gnet's log to errors.
 type errorLogger struct{}
 
 func (errorLogger) Debugf(string, ...any) {}
@@ -80,7 +82,7 @@
 	return &Engine{started: make(chan struct{}), stopped: make(chan error, 1), registrations: make(chan struct{}, MaxRegistrations)}
 }
 
-// AddListener adds a further address to listen at, before Start. The same event loop serves it.
+// AddListener adds a further address to listen on. It must be called before Start. The same event loop serves it.
 func (e *Engine) AddListener(address string, accept Accept) error {
 	a, err := net.ResolveTCPAddr("tcp", address)
 	if err != nil {
@@ -93,8 +95,8 @@
 	return nil
 }
 
-// Start listens at the addresses that were added and then at address, a TCP host:port, and returns once the event loop runs.
-// Clients that reach address therefore reach the others.
+// Start listens on the addresses that were added and then on address, a TCP host:port, and returns once the event loop runs.
+// Because of this order, a client that can connect to address can also connect to the others.
 func (e *Engine) Start(address string, accept Accept) error {
 	e.accept = accept
 	addresses := append(slices.Sorted(maps.Keys(e.listeners)), address)
@@ -123,12 +125,13 @@
 
 func (e *Engine) options() []gnet.Option {
 	return []gnet.Option{
-		gnet.WithNumEventLoop(1), // one core; and what handlers share then needs no locks
-		gnet.WithReuseAddr(true), // a restart finds the last process's connections in TIME_WAIT
-		// The loop that serves connections accepts them too, one at a time. Otherwise a thread of its own takes all
-		// that wait, before accept is called once: a burst of hundreds takes the last descriptor.
+		gnet.WithNumEventLoop(1), // the process has one core, and handlers share state without locks
+		gnet.WithReuseAddr(true), // after a restart, connections of the previous process may be in TIME_WAIT
+		// With this option the event loop that serves connections also accepts them, one at a time. Without it a
+		// separate thread accepts all waiting connections before the Accept function is called once, and a burst of
+		// hundreds uses up the descriptors.
 		gnet.WithReusePort(true),
-		gnet.WithLoadBalancing(gnet.SourceAddrHash), // the default may not be used from several goroutines
+		gnet.WithLoadBalancing(gnet.SourceAddrHash), // the default policy is not safe for concurrent use
 		gnet.WithTCPNoDelay(gnet.TCPNoDelay),
 		gnet.WithReadBufferCap(readBufferSize),
 		gnet.WithWriteBufferCap(writeBufferSize),
@@ -137,7 +140,7 @@
 	}
 }
 
-// Ended receives the error of an event loop that ended.
+// Ended returns a channel that receives the result of the event loop once it has ended.
 func (e *Engine) Ended() <-chan error { return e.stopped }
 
 // Stop ends the event loop and closes its connections.
@@ -147,8 +150,9 @@
 	_ = e.engine.Stop(ctx)
 }
 
-// checkAddressFree fails where an address can't be listened on. Sharing ports, the event loop would not notice another program
-// there. It binds and does not listen: a client that connected during the check would be reset with what it had sent.
+// checkAddressFree returns an error if the process can't listen on an address. The event loop's listener uses SO_REUSEPORT and
+// would not notice another program on the port. The check binds a socket without listening on it: a client that connected
+// during the check would be reset and lose what it had sent.
 func checkAddressFree(address string) error {
 	a, err := net.ResolveTCPAddr("tcp", address)
 	if err != nil || a.Port == 0 {
@@ -175,8 +179,8 @@
 	return os.NewSyscallError("bind", unix.Bind(fd, bound))
 }
 
-// Dial opens a connection on the calling goroutine and registers it with the event loop, where h owns it. Where no descriptor
-// is free it takes one of the reserve: the next client that comes, not discovery or a host, has to make room.
+// Dial opens a connection on the calling goroutine and registers it with the event loop, where h owns it. If no descriptor is
+// free, it uses one of the reserve, up to half of them: connections to discovery and hosts take precedence over the next client.
 func (e *Engine) Dial(ctx context.Context, address string, h Handler) (c gnet.Conn, err error) {
 	for range ReservedDescriptors {
 		if c, err = e.dial(ctx, address, h); !OutOfDescriptors(err) || !e.reserve.release(ReservedDescriptors/2) {
@@ -188,7 +192,8 @@
 
 func (e *Engine) dial(ctx context.Context, address string, h Handler) (gnet.Conn, error) {
 	var d net.Dialer
-	d.KeepAlive, d.FallbackDelay = -1, -1 // one descriptor at a time, also for a name with addresses of two kinds
+	// Without the fallback, a name with IPv4 and IPv6 addresses uses one descriptor at a time.
+	d.KeepAlive, d.FallbackDelay = -1, -1
 	c, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
@@ -196,9 +201,9 @@
 	return e.Register(c, h)
 }
 
-// Register hands a connection to the event loop, where h owns it. It blocks until the loop has it.
+// Register hands a connection to the event loop, where h owns it. It blocks until the event loop has registered it.
 func (e *Engine) Register(c net.Conn, h Handler) (gnet.Conn, error) {
-	e.registrations <- struct{}{} // an event loop that never blocks gives it back at once
+	e.registrations <- struct{}{} // waits only briefly, as the event loop never blocks
 	defer func() { <-e.registrations }()
 	pending := &registration{Handler: h}
 	done, err := e.engine.Register(gnet.NewNetConnContext(gnet.NewContext(context.Background(), pending), c))
@@ -213,38 +218,39 @@
 	return r.Conn, r.Err
 }
 
-// errNotRegistered is returned where the kernel did not take a connection into the event loop's set (epoll_ctl failed, such as
-// with ENOMEM or ENOSPC). gnet reports such a registration as done, with a connection whose descriptor it has closed: the number
-// may be another connection's by then.
+// errNotRegistered is returned when the kernel did not add a connection to the event loop's epoll set (epoll_ctl failed, for
+// example with ENOMEM or ENOSPC). gnet reports such a registration as successful, with a connection whose descriptor it has
+// closed; by then the descriptor number may belong to another connection.
 var errNotRegistered = errors.New("the event loop could not take the connection")
 
-// registration is the context of a connection that is being registered, until the event loop has it.
+// registration is the context of a connection until the event loop has opened it. opened is set by OnOpen.
 type registration struct {
 	Handler
 	opened atomic.Bool
 }
 
-// awaitRegistration waits for the result, and until the duplicated descriptor is closed: then the channel is.
+// awaitRegistration waits for the result, and then until gnet has closed the duplicated descriptor: it closes the channel after
+// that.
 func awaitRegistration(done <-chan gnet.RegisteredResult) gnet.RegisteredResult {
 	r := <-done
 	<-done
 	return r
 }
 
-// OnBoot implements gnet.EventHandler. gnet has not made its event loops yet.
+// OnBoot implements gnet.EventHandler. gnet has not created its event loops yet.
 func (e *Engine) OnBoot(engine gnet.Engine) gnet.Action {
 	e.engine = engine
 	return gnet.None
 }
 
-// OnTick implements gnet.EventHandler. Only from the first tick on is it safe to register connections: a dial right after
-// OnBoot read the list of event loops while gnet was filling it.
+// OnTick implements gnet.EventHandler. Registering connections is safe only from the first tick on: a dial right after OnBoot
+// would read the list of event loops while gnet is still filling it.
 func (e *Engine) OnTick() (time.Duration, gnet.Action) {
 	e.startedOnce.Do(func() { close(e.started) })
 	return tickInterval, gnet.None
 }
 
-// OnOpen implements gnet.EventHandler, for accepted and registered connections alike; the latter have their handler.
+// OnOpen implements gnet.EventHandler, for accepted and for registered connections. Registered ones already have their handler.
 func (e *Engine) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
 	if pending, ok := c.Context().(*registration); ok {
 		c.SetContext(pending.Handler)
--- a/internal/net/loop/engine_test.go
+++ b/internal/net/loop/engine_test.go
@@ -16,8 +16,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// While an address is checked nobody can connect to it: a connection that the kernel takes then is reset by the check's end, with
-// a request that may lie in it.
+// No client may be able to connect to an address while it is checked: the end of the check would reset the connection, and a
+// request that the client had already sent would be lost.
 func TestTheCheckOfAnAddressTakesNoConnection(t *testing.T) {
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -39,7 +39,7 @@
 	}
 	failed := 0
 	for range 3000 {
-		if checkAddressFree(address) != nil { // a client's own port, for a moment
+		if checkAddressFree(address) != nil { // a client may use the port as its local port for a moment
 			failed++
 		}
 	}
@@ -49,8 +49,8 @@
 	require.Less(t, failed, 3000)
 }
 
-// A connection whose registration the kernel rejects is not handed out: its descriptor is closed, and the number may be another's
-// by then. Its descriptor is closed here before the event loop adds it, so that epoll_ctl fails.
+// Register must not return a connection whose registration the kernel rejected: its descriptor is closed, and the number may
+// belong to another connection by then. The test closes the descriptor before the event loop adds it, so that epoll_ctl fails.
 func TestAConnectionThatIsNotRegisteredIsNotHandedOut(t *testing.T) {
 	e, address, l := listenEcho(t)
 	c, err := net.Dial("tcp", address)
@@ -71,14 +71,14 @@
 	require.NoError(t, err)
 	own := -1
 	require.NoError(t, raw.Control(func(fd uintptr) { own = int(fd) }))
-	doubled := -1
-	require.Eventually(t, func() bool { doubled = sameSocket(own); return doubled >= 0 }, 10*time.Second, time.Millisecond)
-	require.NoError(t, unix.Close(doubled))
+	duplicate := -1
+	require.Eventually(t, func() bool { duplicate = sameSocket(own); return duplicate >= 0 }, 10*time.Second, time.Millisecond)
+	require.NoError(t, unix.Close(duplicate))
 	close(release)
 	require.ErrorIs(t, <-result, errNotRegistered)
 }
 
-// sameSocket returns another descriptor of the socket that fd is of; -1: there is none.
+// sameSocket returns another descriptor of the socket that fd refers to, or -1 if there is none.
 func sameSocket(fd int) int {
 	own, err := os.Readlink(fmt.Sprintf("/proc/self/fd/%d", fd))
 	if err != nil {
@@ -97,8 +97,8 @@
 	return -1
 }
 
-// Whoever reaches the engine's own address reaches the others too: it is opened after them. All are occupied here, and the error
-// names the one that was tried first.
+// The engine listens on its own address last, so that a client that can connect to it can connect to the others too. All addresses
+// are in use here, and the error names the one that was tried first.
 func TestItsOwnAddressIsOpenedAfterTheOthers(t *testing.T) {
 	occupied := func() string {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/net/loop/pausableconn.go
+++ b/internal/net/loop/pausableconn.go
@@ -9,18 +9,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// PausableConn is a connection on the event loop that can be paused. While it is, nothing is read from it, so that the kernel
-// holds its peer back, and what is written to it waits. gnet reads whatever comes; the only way to make it stop is to take the
-// descriptor away from it and to register it again later. All methods are called on the event loop.
+// PausableConn is a connection on the event loop that can be paused. While it is paused, nothing is read from it, so that the
+// kernel applies back pressure to the peer, and writes are buffered. gnet always reads what arrives; the only way to stop it is to
+// take the descriptor away from it and to register it again later. All methods must be called on the event loop.
 type PausableConn struct {
-	Conn          gnet.Conn // nil while it is paused
-	engine        *Engine
-	handler       Handler
-	parked        net.Conn // the connection while it is paused
-	resuming      bool     // it is being registered again
-	detaching     bool     // gnet is closing its descriptor of it, which does not end the connection
-	unread        []byte   // what was read before the pause and is not consumed
-	pendingWrites []byte   // what was written during it
+	// Conn is nil while the connection is paused.
+	Conn    gnet.Conn
+	engine  *Engine
+	handler Handler
+	// parked is the connection while it is paused.
+	parked net.Conn
+	// resuming is true while the connection is being registered again.
+	resuming bool
+	// detaching is true while gnet closes its own descriptor of the connection, which does not end the connection.
+	detaching bool
+	// unread holds bytes that were read before the pause and are not consumed yet.
+	unread []byte
+	// pendingWrites holds bytes that were written during the pause.
+	pendingWrites []byte
 	closed        bool
 }
 
@@ -32,8 +38,8 @@
 // Paused reports whether nothing is read from the connection.
 func (p *PausableConn) Paused() bool { return p.Conn == nil && !p.closed }
 
-// ConfirmClosed marks the connection as closed, and reports whether it is. Handler.Closed calls it first: false means that only
-// the descriptor is being taken away, for a pause.
+// ConfirmClosed marks the connection as closed and reports whether it is closed. Handler.Closed must call it first: false means
+// that gnet has closed only its own descriptor because the connection is being paused.
 func (p *PausableConn) ConfirmClosed() bool {
 	if p.detaching {
 		return false
@@ -42,7 +48,7 @@
 	return true
 }
 
-// Peek returns all that was read and not consumed. It is valid until the next call.
+// Peek returns all bytes that were read and not consumed. The slice is valid until the next call of a method.
 func (p *PausableConn) Peek() []byte {
 	if p.Conn == nil {
 		return p.unread
@@ -75,7 +81,7 @@
 	}
 }
 
-// BufferedBytes returns how much was read and not consumed.
+// BufferedBytes returns the number of bytes that were read and not consumed.
 func (p *PausableConn) BufferedBytes() int {
 	n := len(p.unread)
 	if p.Conn != nil {
@@ -84,7 +90,7 @@
 	return n
 }
 
-// Write sends b, or retains it until the pause is over.
+// Write sends b, or buffers it until the connection is resumed.
 func (p *PausableConn) Write(b []byte) {
 	switch {
 	case len(b) == 0 || p.closed:
@@ -95,7 +101,7 @@
 	}
 }
 
-// UnsentBytes returns how much of what was written is not with the kernel yet.
+// UnsentBytes returns the number of written bytes that the kernel has not accepted yet.
 func (p *PausableConn) UnsentBytes() int {
 	n := len(p.pendingWrites)
 	if p.Conn != nil {
@@ -121,8 +127,8 @@
 	}
 }
 
-// Pause stops reading and reports whether it did. It does nothing while something written waits for the kernel, which would be
-// lost. It must not be called from within the connection's own Traffic, whose caller goes on using the descriptor.
+// Pause stops reading and reports whether it did. It does nothing while written bytes wait to be sent, because they would be
+// lost. It must not be called from within the connection's own Traffic method, whose caller continues to use the descriptor.
 func (p *PausableConn) Pause() bool {
 	if p.Conn == nil || p.closed || p.resuming || p.Conn.OutboundBuffered() > 0 {
 		return false
@@ -142,12 +148,12 @@
 	}
 	old := p.Conn
 	p.Conn, p.parked, p.detaching = nil, c, true
-	_ = old.EventLoop().Close(old) // which calls Handler.Closed, which calls ConfirmClosed
+	_ = old.EventLoop().Close(old) // calls Handler.Closed, which calls ConfirmClosed
 	p.detaching = false
 	return true
 }
 
-// PeerClosed reports whether the peer has closed or reset a connection that is paused, though what it sent before is not read.
+// PeerClosed reports whether the peer has closed or reset a paused connection, even if bytes that it sent before are unread.
 func (p *PausableConn) PeerClosed() (closed bool) {
 	c, ok := p.parked.(*net.TCPConn)
 	if !ok {
@@ -165,7 +171,8 @@
 	return closed
 }
 
-// Resume starts reading again, some time later: the connection is registered again by the time at which Traffic is called.
+// Resume starts reading again. It returns at once; the connection is registered again in the background, and then the handler's
+// Traffic is called.
 func (p *PausableConn) Resume(on gnet.EventLoop) {
 	if p.parked == nil || p.resuming {
 		return
@@ -190,8 +197,8 @@
 	case err != nil:
 		p.closed = true
 		p.handler.Closed(nil, err)
-	case r.closed: // it ended meanwhile, and its handler was notified
-	case p.closed: // it was closed meanwhile
+	case r.closed: // the peer closed it meanwhile, and its handler was notified
+	case p.closed: // Close was called meanwhile
 		_ = c.EventLoop().Close(c)
 	default:
 		p.resumed(c)
@@ -211,13 +218,13 @@
 	}
 }
 
-// resumeHandler owns a connection between its registration and the moment at which its handler has it back.
+// resumeHandler owns a resumed connection from its registration until resumed restores the original handler.
 type resumeHandler struct {
 	conn   *PausableConn
 	closed bool
 }
 
-// Traffic implements Handler; what came waits.
+// Traffic implements Handler. It leaves the data in the buffer for the original handler.
 func (r *resumeHandler) Traffic(gnet.Conn) gnet.Action { return gnet.None }
 
 // Closed implements Handler.
--- a/internal/net/loop/scarce_test.go
+++ b/internal/net/loop/scarce_test.go
@@ -20,7 +20,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// echo answers what comes with the same.
+// echo sends back what it receives.
 type echo struct{ closed func() }
 
 func (echo) Traffic(c gnet.Conn) gnet.Action {
@@ -35,14 +35,15 @@
 	}
 }
 
-// alone runs a test in a process of its own, whose limit of descriptors it may change.
-func alone(t *testing.T) bool {
+// runInSubprocess runs the calling test in a process of its own, whose descriptor limit the test may change. It returns true in
+// that process, where the test has to continue.
+func runInSubprocess(t *testing.T) bool {
 	if os.Getenv("ALONE") == t.Name() {
 		return true
 	}
 	c := exec.Command(os.Args[0], "-test.run=^"+strings.ReplaceAll(t.Name(), "/", "$/^")+"$", "-test.v", "-test.timeout=60s")
-	// With more arenas the C library opens a file under /sys for a moment when a thread allocates for the first time: one descriptor
-	// more than the test reckons with, at any time.
+	// With more than one arena, the C library briefly opens a file under /sys when a thread allocates for the first time. That
+	// would use one more descriptor than the test expects, at an unpredictable time.
 	c.Env = append(os.Environ(), "ALONE="+t.Name(), "MALLOC_ARENA_MAX=1")
 	out, err := c.CombinedOutput()
 	require.NoError(t, err, "%s", out)
@@ -55,23 +56,23 @@
 	return false
 }
 
-// open names the descriptors that this process holds.
-func open(t *testing.T) int {
+// openDescriptors returns the number of descriptors that this process holds.
+func openDescriptors(t *testing.T) int {
 	all, err := os.ReadDir("/proc/self/fd")
 	require.NoError(t, err)
-	return len(all) - 1 // the folder's own
+	return len(all) - 1 // without the descriptor of the directory that is being read
 }
 
-// limit lets the process hold so many descriptors from now on.
-func limit(t *testing.T, n int) {
+// setDescriptorLimit limits the process to n descriptors.
+func setDescriptorLimit(t *testing.T, n int) {
 	var r syscall.Rlimit
 	require.NoError(t, syscall.Getrlimit(syscall.RLIMIT_NOFILE, &r))
 	r.Cur = uint64(n)
 	require.NoError(t, syscall.Setrlimit(syscall.RLIMIT_NOFILE, &r))
 }
 
-// fill takes every descriptor that is free, and returns one that gives them back.
-func fill(t *testing.T) (back func(n int)) {
+// exhaustDescriptors opens every free descriptor, and returns a function that closes n of them.
+func exhaustDescriptors(t *testing.T) (back func(n int)) {
 	var taken []int
 	for {
 		fd, err := syscall.Open("/dev/null", syscall.O_RDONLY|syscall.O_CLOEXEC, 0)
@@ -88,15 +89,16 @@
 	}
 }
 
-// processor is the time that this process has used.
-func processor(t *testing.T) time.Duration {
+// cpuTime returns the CPU time that this process has used.
+func cpuTime(t *testing.T) time.Duration {
 	var u syscall.Rusage
 	require.NoError(t, syscall.Getrusage(syscall.RUSAGE_SELF, &u))
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// outside are clients in another process, whose descriptors are not this one's. They connect when they are told to.
-func outside(t *testing.T, address string, n int) (come func(), said io.Reader) {
+// startClients starts another process that connects n clients to address once start is called; their descriptors don't count
+// against this process. What the clients receive is written to output.
+func startClients(t *testing.T, address string, n int) (start func(), output io.Reader) {
 	c := exec.Command(os.Args[0], "-test.run=^TestClientsOutside$", "-test.v")
 	c.Env = append(os.Environ(), "CLIENTS="+address, fmt.Sprintf("COUNT=%d", n))
 	in, err := c.StdinPipe()
@@ -111,8 +113,8 @@
 	}, out
 }
 
-// TestClientsOutside is the body of outside: each client connects and says what it is told first. They stay until
-// standard input ends.
+// TestClientsOutside is the body of the process that startClients starts. Each client connects and prints the first data that it
+// receives. The connections stay open until standard input ends.
 func TestClientsOutside(t *testing.T) {
 	address := os.Getenv("CLIENTS")
 	if address == "" {
@@ -154,14 +156,14 @@
 	return string(b[:n])
 }
 
-func say(t *testing.T, c net.Conn, text string) string {
+func exchange(t *testing.T, c net.Conn, text string) string {
 	_, err := c.Write([]byte(text))
 	require.NoError(t, err)
 	return read(t, c)
 }
 
-// port is one that nobody listens on.
-func port(t *testing.T) string {
+// freePort returns a port that nobody listens on.
+func freePort(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
@@ -169,11 +171,11 @@
 	return p
 }
 
-// ended says whether the loop has ended by itself.
+// ended reports whether the event loop has ended by itself.
 func ended(e *Engine) bool { return len(e.stopped) > 0 }
 
-// lines reads what clients said until so many lines hold a text.
-func lines(t *testing.T, said io.Reader, text string, n int) {
+// waitForText reads the output of startClients until text has occurred n times.
+func waitForText(t *testing.T, said io.Reader, text string, n int) {
 	var all strings.Builder
 	b := make([]byte, 4096)
 	for strings.Count(all.String(), text) < n {
@@ -183,73 +185,74 @@
 	}
 }
 
-// Accept finds no descriptor free: gnet would end the loop, and every connection with it. Clients are turned away in
-// words, one by one, while connections are served; when descriptors are free again, clients are accepted as before.
+// When accept finds no free descriptor, gnet would end the event loop and close every connection. Instead, new clients must be
+// rejected with a message while existing connections are served, and accepted again once descriptors are free.
 func TestAcceptWithoutDescriptorsTurnsClientsAway(t *testing.T) {
-	if !alone(t) {
+	if !runInSubprocess(t) {
 		return
 	}
 	e := New()
 	e.Exhaustion.Reject = func(gnet.Conn) []byte { return []byte("no room") }
-	address := "127.0.0.1:" + port(t)
+	address := "127.0.0.1:" + freePort(t)
 	require.NoError(t, e.Start(address, func(gnet.Conn) (Handler, []byte, gnet.Action) { return echo{}, []byte("welcome"), gnet.None }))
 	defer e.Stop()
 	old := connect(t, address)
 	require.Equal(t, "welcome", read(t, old))
-	come, told := outside(t, address, 40)
-	limit(t, open(t)+24)
-	back := fill(t) // not one is free
+	come, told := startClients(t, address, 40)
+	setDescriptorLimit(t, openDescriptors(t)+24)
+	back := exhaustDescriptors(t) // no descriptor is free
 	come()
-	lines(t, told, `"no room"`, 40)
-	require.Equal(t, "still", say(t, old, "still"))
-	used, begun := processor(t), time.Now()
-	// Nothing comes: nothing is asked. Polling a while is the measurement, not an order.
+	waitForText(t, told, `"no room"`, 40)
+	require.Equal(t, "still", exchange(t, old, "still"))
+	used, begun := cpuTime(t), time.Now()
+	// No client is connecting, so the event loop must be idle. The duration of Never is the interval over which the CPU time is
+	// measured.
 	require.Never(t, func() bool { return ended(e) }, 300*time.Millisecond, 50*time.Millisecond)
-	share := float64(processor(t)-used) / float64(time.Since(begun))
+	share := float64(cpuTime(t)-used) / float64(time.Since(begun))
 	fmt.Printf("figure: 40 turned away; processor time at rest afterwards %.3f of a core\n", share)
 	require.Less(t, share, 0.3)
 	back(12)
 	require.Equal(t, "welcome", read(t, connect(t, address)))
-	require.Equal(t, "still", say(t, old, "still"))
+	require.Equal(t, "still", exchange(t, old, "still"))
 }
 
-// With nothing to give up, neither a connection nor a descriptor of the reserve, the loop goes on and does not spin.
+// If there is neither a client to evict nor a descriptor in the reserve, the event loop must keep running without a busy loop.
 func TestAcceptWithoutDescriptorsOrReserveDoesNotSpin(t *testing.T) {
-	if !alone(t) {
+	if !runInSubprocess(t) {
 		return
 	}
 	e := New()
 	var asked atomic.Int64
 	e.Exhaustion.EvictClient = func() bool { asked.Add(1); return false }
-	address := "127.0.0.1:" + port(t)
+	address := "127.0.0.1:" + freePort(t)
 	require.NoError(t, e.Start(address, func(gnet.Conn) (Handler, []byte, gnet.Action) { return echo{}, []byte("welcome"), gnet.None }))
 	defer e.Stop()
 	old := connect(t, address)
 	require.Equal(t, "welcome", read(t, old))
-	come, told := outside(t, address, 3)
-	limit(t, open(t)+24)
+	come, told := startClients(t, address, 3)
+	setDescriptorLimit(t, openDescriptors(t)+24)
 	e.reserve.releaseAll()
-	back := fill(t)
+	back := exhaustDescriptors(t)
 	come()
 	require.Eventually(t, func() bool { return asked.Load() > 20 }, 10*time.Second, time.Millisecond)
-	used, begun, before := processor(t), time.Now(), asked.Load()
+	used, begun, before := cpuTime(t), time.Now(), asked.Load()
 	require.Eventually(t, func() bool { return asked.Load() > before+100 }, 10*time.Second, 5*time.Millisecond)
-	share, pace := float64(processor(t)-used)/float64(time.Since(begun)), float64(asked.Load()-before)/time.Since(begun).Seconds()
+	share, pace := float64(cpuTime(t)-used)/float64(time.Since(begun)), float64(asked.Load()-before)/time.Since(begun).Seconds()
 	fmt.Printf("figure: accept asked %.0f times a second with nothing to give, processor time %.3f of a core\n", pace, share)
 	require.Less(t, share, 0.5)
 	require.Less(t, pace, 1100.)
-	require.Equal(t, "still", say(t, old, "still"))
+	require.Equal(t, "still", exchange(t, old, "still"))
 	back(12)
-	lines(t, told, `"welcome"`, 3)
+	waitForText(t, told, `"welcome"`, 3)
 }
 
-// A client that is missed least gives its place to the one that comes.
+// When no descriptor is free, the client that EvictClient selects is closed so that a new client can be accepted.
 func TestAcceptWithoutDescriptorsClosesWhoIsMissedLeast(t *testing.T) {
-	if !alone(t) {
+	if !runInSubprocess(t) {
 		return
 	}
 	e := New()
-	var idle []gnet.Conn // on the loop
+	var idle []gnet.Conn // used only on the event loop
 	e.Exhaustion.EvictClient = func() bool {
 		if len(idle) == 0 {
 			return false
@@ -259,72 +262,73 @@
 		_ = c.EventLoop().Close(c)
 		return true
 	}
-	address := "127.0.0.1:" + port(t)
+	address := "127.0.0.1:" + freePort(t)
 	require.NoError(t, e.Start(address, func(c gnet.Conn) (Handler, []byte, gnet.Action) {
 		idle = append(idle, c)
 		return echo{}, []byte("welcome"), gnet.None
 	}))
 	defer e.Stop()
-	old, told := outside(t, address, 20)
+	old, told := startClients(t, address, 20)
 	old()
-	lines(t, told, `"welcome"`, 20)
-	come, said := outside(t, address, 10)
-	limit(t, open(t)+24)
-	fill(t)
+	waitForText(t, told, `"welcome"`, 20)
+	come, said := startClients(t, address, 10)
+	setDescriptorLimit(t, openDescriptors(t)+24)
+	exhaustDescriptors(t)
 	come()
-	lines(t, said, `"welcome"`, 10)
+	waitForText(t, said, `"welcome"`, 10)
 	require.True(t, e.reserve.fill(), "the reserve is whole again")
 	require.False(t, ended(e))
 }
 
-// Clients fill every descriptor: a dial takes its own from the reserve.
+// When clients use every descriptor, a dial uses one of the reserve.
 func TestDialWithoutDescriptorsTakesFromTheReserve(t *testing.T) {
-	if !alone(t) {
+	if !runInSubprocess(t) {
 		return
 	}
 	peer, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	e := New()
-	require.NoError(t, e.Start("127.0.0.1:"+port(t), func(gnet.Conn) (Handler, []byte, gnet.Action) { return nil, nil, gnet.Close }))
+	require.NoError(t, e.Start("127.0.0.1:"+freePort(t), func(gnet.Conn) (Handler, []byte, gnet.Action) { return nil, nil, gnet.Close }))
 	defer e.Stop()
-	limit(t, open(t)+24)
-	back := fill(t)
+	setDescriptorLimit(t, openDescriptors(t)+24)
+	back := exhaustDescriptors(t)
 	c, err := e.Dial(context.Background(), peer.Addr().String(), echo{})
 	require.NoError(t, err)
 	require.NoError(t, c.Close())
 	back(8)
 	require.True(t, e.reserve.fill())
-	fill(t)
+	exhaustDescriptors(t)
 	e.reserve.releaseAll()
-	fill(t)
+	exhaustDescriptors(t)
 	_, err = e.Dial(context.Background(), peer.Addr().String(), echo{})
 	require.True(t, OutOfDescriptors(err), "%v", err)
 	require.False(t, ended(e))
 }
 
-// Enrol gives its place to the next only when the descriptor that was doubled is closed.
-func TestEnrolHoldsOneDescriptorAfterwards(t *testing.T) {
-	if !alone(t) {
+// Register allows the next registration only once the duplicated descriptor is closed, so that a dial holds one descriptor after
+// it has returned.
+func TestRegisterHoldsOneDescriptorAfterwards(t *testing.T) {
+	if !runInSubprocess(t) {
 		return
 	}
 	peer, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	e := New()
-	require.NoError(t, e.Start("127.0.0.1:"+port(t), func(gnet.Conn) (Handler, []byte, gnet.Action) { return nil, nil, gnet.Close }))
+	require.NoError(t, e.Start("127.0.0.1:"+freePort(t), func(gnet.Conn) (Handler, []byte, gnet.Action) { return nil, nil, gnet.Close }))
 	defer e.Stop()
-	_, err = e.Dial(context.Background(), peer.Addr().String(), echo{}) // what is opened once only
+	_, err = e.Dial(context.Background(), peer.Addr().String(), echo{}) // the first dial opens descriptors that later ones share
 	require.NoError(t, err)
 	for range 300 {
-		before := open(t)
+		before := openDescriptors(t)
 		_, err = e.Dial(context.Background(), peer.Addr().String(), echo{})
 		require.NoError(t, err)
-		require.Equal(t, before+1, open(t))
+		require.Equal(t, before+1, openDescriptors(t))
 	}
 }
 
-// gnet says that the loop has the connection before it closes the one that it doubled: only then is the place free.
-func TestEnrolWaitsForTheSecondDescriptor(t *testing.T) {
-	done := make(chan gnet.RegisteredResult) // each value is taken, or waits
+// gnet reports the result before it closes the descriptor that it duplicated. awaitRegistration must wait for both.
+func TestRegisterWaitsForTheSecondDescriptor(t *testing.T) {
+	done := make(chan gnet.RegisteredResult) // unbuffered, so that each send waits for a receive
 	failed := errors.New("failed")
 	got := make(chan error, 1)
 	go func() { got <- awaitRegistration(done).Err }()
--- a/internal/net/loop/taskqueue.go
+++ b/internal/net/loop/taskqueue.go
@@ -7,17 +7,17 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// maxTasksInARow is how many tasks run in a row before the event loop looks at its sockets again. A bound in time would need the
-// clock for each task, and on a slow core have the loop look after every one.
+// maxTasksInARow is how many tasks run in a row before the event loop polls its sockets again. A time limit would need to read
+// the clock for each task, and on a slow core the event loop would poll after every task.
 const maxTasksInARow = 32
 
-// TaskQueue runs functions on an event loop, in order. gnet runs what is given to EventLoop.Execute until nothing is left, and
-// only then looks at its sockets: tasks that bring about further ones keep it from reading for as long as they last. A TaskQueue
-// has it look in between. It is safe for concurrent use.
+// TaskQueue runs functions on an event loop, in order. gnet runs the functions given to EventLoop.Execute until none is left, and
+// only then polls its sockets: tasks that post further tasks would keep it from reading. A TaskQueue lets the event loop poll its
+// sockets after every maxTasksInARow tasks. It is safe for concurrent use.
 type TaskQueue struct {
 	loop gnet.EventLoop
 
-	mu        sync.Mutex // guards what follows
+	mu        sync.Mutex // guards tasks and scheduled
 	tasks     []func()
 	scheduled bool // run is queued, or is running
 }
@@ -25,7 +25,7 @@
 // NewTaskQueue returns a queue for an event loop.
 func NewTaskQueue(l gnet.EventLoop) *TaskQueue { return &TaskQueue{loop: l} }
 
-// Post has a task run on the event loop, later. It fails where the event loop has ended.
+// Post queues a task to run on the event loop. It returns an error if the event loop has ended.
 func (q *TaskQueue) Post(task func()) error {
 	q.mu.Lock()
 	q.tasks = append(q.tasks, task)
@@ -60,6 +60,7 @@
 		q.mu.Unlock()
 		task()
 	}
-	// From another goroutine: queued here, it would run before the event loop looks at its sockets.
+	// Schedule from another goroutine: if it were scheduled here, run would be called again before the event loop polls its
+	// sockets.
 	go func() { _ = q.schedule() }()
 }
--- a/internal/net/loop/taskqueue_test.go
+++ b/internal/net/loop/taskqueue_test.go
@@ -41,7 +41,7 @@
 	return e, address, <-loops
 }
 
-// Tasks that bring about further ones without an end do not keep the event loop from its sockets.
+// Tasks that post further tasks without end must not keep the event loop from polling its sockets.
 func TestEndlessTasksLeaveTheSocketsTheirTurn(t *testing.T) {
 	_, address, l := listenEcho(t)
 	c, err := net.Dial("tcp", address)
--- a/internal/net/loop/throttledlog.go
+++ b/internal/net/loop/throttledlog.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// throttleInterval is the least time between two lines of a ThrottledLog.
+// throttleInterval is the minimum time between two lines of a ThrottledLog.
 const throttleInterval = time.Second
 
-// ThrottledLog limits a warning that one cause can bring a thousand times a second to one a second. Its zero value is ready to
-// use.
+// ThrottledLog limits a warning to one line per second, for causes that can occur a thousand times a second. Its zero value is
+// ready to use. It is safe for concurrent use.
 type ThrottledLog struct {
-	mu          sync.Mutex // guards what follows
+	mu          sync.Mutex // guards nextAllowed and suppressed
 	nextAllowed time.Time
 	suppressed  int
 }
 
-// Warn logs a constant message with attributes, or counts it for the next one that is logged, which has the attribute
-// suppressed.
+// Warn logs a constant message with attributes. If a line was logged less than throttleInterval ago, it only counts the message;
+// the next line that is logged has the count as its attribute suppressed.
 func (l *ThrottledLog) Warn(message string, attributes ...any) {
 	if suppressed, ok := l.allow(time.Now()); ok {
 		if suppressed > 0 {
@@ -29,7 +29,7 @@
 	}
 }
 
-// Printf is Warn for a message that is formatted.
+// Printf is like Warn, but formats its message.
 func (l *ThrottledLog) Printf(format string, args ...any) {
 	if suppressed, ok := l.allow(time.Now()); ok {
 		if suppressed > 0 {
