--- a/internal/net/flight/dial_test.go
+++ b/internal/net/flight/dial_test.go
@@ -13,22 +13,22 @@
 	"ashstand/internal/edge"
 )
 
-// A host that moves, leaves or begins to drain between the begin of a dial and its greeting gets no greeting, and a
-// request goes to where the host is now.
+// If a host changes its address, is removed or starts to drain while it is being dialed, nothing may be sent on that connection. A
+// request then uses the host's current address.
 func TestAHostChangesWhileItIsDialled(t *testing.T) {
 	for _, k := range []struct {
 		name  string
-		event func(h *Hosts, other string, drains *atomic.Bool)
-		want  error // nil: it is reached elsewhere
+		event func(h *Hosts, other string, draining *atomic.Bool)
+		want  error // nil: the host is reached at its new address
 	}{
 		{"moves", func(h *Hosts, other string, _ *atomic.Bool) { h.SetAddress("h", other) }, nil},
 		{"leaves", func(h *Hosts, _ string, _ *atomic.Bool) { h.SetAddress("h", "") }, errNoAddress},
-		{"drains", func(_ *Hosts, _ string, drains *atomic.Bool) { drains.Store(true) }, edge.ErrUnlisted},
+		{"drains", func(_ *Hosts, _ string, draining *atomic.Bool) { draining.Store(true) }, edge.ErrUnlisted},
 	} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		defer l.Close()
-		heard := make(chan []byte, 16)
+		received := make(chan []byte, 16)
 		go func() {
 			for {
 				c, err := l.Accept()
@@ -37,26 +37,26 @@
 				}
 				go func() {
 					b, _ := io.ReadAll(c)
-					heard <- b
+					received <- b
 				}()
 			}
 		}()
-		other, _ := refuser(t)
+		other, _ := startRefusingServer(t)
 		h := NewHosts(20 * time.Second)
 		defer h.Close()
-		var drains atomic.Bool
-		var looks atomic.Int32
+		var draining atomic.Bool
+		var listChecks atomic.Int32
 		h.IsListed = func(string) bool {
-			if looks.Add(1) == 2 { // the connection is there, and nothing was written to it
-				k.event(h, other, &drains)
+			if listChecks.Add(1) == 2 { // the connection is open, and nothing was written to it yet
+				k.event(h, other, &draining)
 			}
-			return !drains.Load()
+			return !draining.Load()
 		}
 		h.SetAddress("h", l.Addr().String())
 		ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 		defer cancel()
 		_, err = h.Acquire(ctx, "h")
-		require.Empty(t, <-heard, "%s: greeted all the same", k.name)
+		require.Empty(t, <-received, "%s: greeted all the same", k.name)
 		if k.want == nil {
 			require.NoError(t, err, k.name)
 		} else {
@@ -65,12 +65,12 @@
 	}
 }
 
-// A dial whose attempt was given up goes on, and the next request uses its connection.
+// A dial continues after the request that started it was cancelled, and the next request uses its connection.
 func TestADialThatCompletesAfterItsAttempt(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
-	other, _ := refuser(t)
+	other, _ := startRefusingServer(t)
 	accepted := make(chan net.Conn, 16)
 	go func() {
 		for {
@@ -93,7 +93,7 @@
 	c := <-accepted
 	giveUp()
 	require.ErrorIs(t, <-done, context.Canceled)
-	to, err := net.Dial("tcp", other) // only now does the host greet
+	to, err := net.Dial("tcp", other) // the host sends its HTTP/2 settings only from now on
 	require.NoError(t, err)
 	go func() { _, _ = io.Copy(to, c); to.Close() }()
 	go func() { _, _ = io.Copy(c, to); c.Close() }()
--- a/internal/net/flight/front.go
+++ b/internal/net/flight/front.go
@@ -19,65 +19,69 @@
 	"ashstand/internal/sqlcomment"
 )
 
-// Front serves Flight SQL clients. gRPC runs a goroutine for each request, and waits for them in Drain.
+// Front serves Flight SQL clients. gRPC runs a goroutine for each request; Drain waits for them.
 type Front struct {
 	flightsql.BaseServer
 	edge   *edge.Edge
 	server *grpc.Server
-	ending context.Context // ends at the cut
+	// ending is cancelled by Cut.
+	ending context.Context
 	cut    context.CancelCauseFunc
 }
 
 const (
-	maxStreams      = 64 // open requests on one connection
-	maxRequestHead  = 16 << 10
-	bufferSize      = 8 << 10
-	streamWindow    = 64 << 10
-	connWindow      = 256 << 10
-	connectTimeout  = 2200 * time.Millisecond // as PostgreSQL's front
-	maxIdle         = 5 * time.Minute
-	keepaliveTime   = 30 * time.Second
-	keepaliveWait   = 10 * time.Second
-	keepaliveLeast  = 10 * time.Second // between two of a client
-	rowCountUnknown = -1               // in a DoPut result
+	maxStreams        = 64 // open requests on one connection
+	maxRequestHeaders = 16 << 10
+	bufferSize        = 8 << 10
+	streamWindow      = 64 << 10
+	connWindow        = 256 << 10
+	connectTimeout    = 2200 * time.Millisecond // the same as in the PostgreSQL front
+	maxIdle           = 5 * time.Minute
+	keepaliveTime     = 30 * time.Second
+	keepaliveTimeout  = 10 * time.Second
+	// keepaliveMinInterval is the minimum interval between two keepalive pings of one client.
+	keepaliveMinInterval = 10 * time.Second
+	// rowCountUnknown is the record count of a DoPut result if the host's command tag has none.
+	rowCountUnknown = -1
 )
 
-// NewFront returns a front that brings requests to e.
+// NewFront returns a front that passes requests to e.
 func NewFront(e *edge.Edge) *Front {
 	f := &Front{edge: e}
 	f.ending, f.cut = context.WithCancelCause(context.Background())
 	f.server = grpc.NewServer(
-		grpc.MaxRecvMsgSize(maxRequest), grpc.MaxHeaderListSize(maxRequestHead), grpc.MaxConcurrentStreams(maxStreams),
-		// Fixed and small: one core and little memory, shared with the other front. Setting the windows also
-		// turns off their growth by the estimated bandwidth.
+		grpc.MaxRecvMsgSize(maxRequest), grpc.MaxHeaderListSize(maxRequestHeaders), grpc.MaxConcurrentStreams(maxStreams),
+		// Buffers and windows are small and fixed, because the process has one core and little memory, and shares them
+		// with the other front. Setting the windows also disables gRPC's dynamic window sizing by estimated bandwidth.
 		grpc.ReadBufferSize(bufferSize), grpc.WriteBufferSize(bufferSize),
 		grpc.InitialWindowSize(streamWindow), grpc.InitialConnWindowSize(connWindow),
 		grpc.ConnectionTimeout(connectTimeout),
-		// Devices on poor links vanish without closing their connections.
-		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: maxIdle, Time: keepaliveTime, Timeout: keepaliveWait}),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: keepaliveLeast, PermitWithoutStream: true}))
+		// Clients on poor links disappear without closing their connections.
+		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: maxIdle, Time: keepaliveTime, Timeout: keepaliveTimeout}),
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: keepaliveMinInterval, PermitWithoutStream: true}))
 	flight.RegisterFlightServiceServer(f.server, flightsql.NewFlightServer(f))
 	return f
 }
 
-// Serve accepts up to so many connections at once until Drain or Stop; further ones wait in the listen queue.
+// Serve accepts connections until Drain or Stop. It holds at most the given number of connections at once; further ones wait in
+// the listen queue.
 func (f *Front) Serve(l net.Listener, connections int) error {
 	return f.server.Serve(netutil.LimitListener(l, connections))
 }
 
-// Drain accepts no new connection, sends clients a GOAWAY, and returns when every request has its answer.
+// Drain stops accepting connections, sends clients a GOAWAY, and returns when every request has been answered.
 func (f *Front) Drain() { f.server.GracefulStop() }
 
-// Cut gives every request that is open its final answer: the process is about to end. Drain then returns soon.
+// Cut ends every open request with a final answer, because the process is about to end. Drain then returns soon.
 func (f *Front) Cut() { f.cut(edge.ErrProcessEnding) }
 
-// Stop closes all connections, with what is still open on them.
+// Stop closes all connections and aborts their open requests.
 func (f *Front) Stop() { f.server.Stop() }
 
 func invalid(text string) error { return newStatus(codes.InvalidArgument, text, "", 0) }
 
-// query parses a statement that is to be run as a query. A write is rejected: a ticket can be used twice, and would run it
-// twice.
+// query parses a statement that is to be run as a query. It rejects writes, because a ticket can be used twice and would then run
+// the write twice.
 func (f *Front) query(text string, transaction []byte) (sqlcomment.Statement, error) {
 	s, err := f.parse(text, transaction)
 	if err == nil && f.edge.Writes(s.Class) {
@@ -97,7 +101,7 @@
 	return s, nil
 }
 
-// GetFlightInfoStatement makes a ticket, which is the statement itself, and runs nothing.
+// GetFlightInfoStatement returns a ticket that contains the statement itself. It does not run the statement.
 func (f *Front) GetFlightInfoStatement(_ context.Context, q flightsql.StatementQuery, d *flight.FlightDescriptor) (*flight.FlightInfo, error) {
 	if _, err := f.query(q.GetQuery(), q.GetTransactionId()); err != nil {
 		return nil, err
@@ -106,14 +110,15 @@
 	if err != nil {
 		return nil, newStatus(codes.Internal, err.Error(), "", 0)
 	}
-	// No location: the ticket is valid on this service. No schema: only the host that answers knows it.
+	// There is no location, because the ticket is valid on this service, and no schema, because only the host that answers
+	// the request knows it.
 	return &flight.FlightInfo{
 		FlightDescriptor: d, TotalRecords: -1, TotalBytes: -1,
 		Endpoint: []*flight.FlightEndpoint{{Ticket: &flight.Ticket{Ticket: ticket}}},
 	}, nil
 }
 
-// DoGetStatement runs a ticket.
+// DoGetStatement runs the statement of a ticket.
 func (f *Front) DoGetStatement(ctx context.Context, t flightsql.StatementQueryTicket) (*arrow.Schema, <-chan flight.StreamChunk, error) {
 	s, err := f.query(string(t.GetStatementHandle()), nil)
 	if err != nil {
@@ -130,7 +135,7 @@
 	return schema, out, nil
 }
 
-// DoPutCommandStatementUpdate runs a write. The result holds the count of rows; a value that the statement returns stands in the
+// DoPutCommandStatementUpdate runs a write. The result holds the row count; a value that the statement returns is sent in the
 // trailing metadata.
 func (f *Front) DoPutCommandStatementUpdate(ctx context.Context, u flightsql.StatementUpdate) (int64, error) {
 	s, err := f.parse(u.GetQuery(), u.GetTransactionId())
@@ -156,7 +161,8 @@
 	return count, nil
 }
 
-// run brings a statement to its final answer. The client waits until the earlier of the comment's d and its call's deadline.
+// run executes a statement and returns its final answer. Its time limit is the earlier of the field d of the statement's comment
+// and the deadline of the client's call.
 func (f *Front) run(ctx context.Context, s *sqlcomment.Statement) (*edge.Answer, error) {
 	if !f.edge.Ready() {
 		return nil, newStatus(codes.Unavailable, "no list of hosts is held yet", reasonPoolerRejected, 0)
--- a/internal/net/flight/golden_test.go
+++ b/internal/net/flight/golden_test.go
@@ -28,7 +28,7 @@
 
 var updateGolden = flag.Bool("update-golden", false, "rewrite the files of testdata/golden with what the program writes now")
 
-// golden compares what the program writes with the committed file, which it returns.
+// golden compares got with the committed file and returns the content of the file.
 func golden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", "golden", name)
@@ -42,7 +42,7 @@
 	return want
 }
 
-// statusLine is an error as it goes over the wire: its code, and the encoded status.
+// statusLine formats an error as it is sent: its code and the encoded status.
 func statusLine(t *testing.T, name string, err error) string {
 	t.Helper()
 	s, ok := status.FromError(err)
@@ -65,7 +65,7 @@
 	return status.ErrorProto(&p)
 }
 
-// TestGoldenFinalStatus holds the statuses of all final answers that are errors, and what a pooler reads in each.
+// TestGoldenFinalStatus checks the statuses of all final answers that are errors, and how a pooler classifies each.
 func TestGoldenFinalStatus(t *testing.T) {
 	results := []struct {
 		name   string
@@ -92,7 +92,7 @@
 	}
 }
 
-// TestGoldenHostStatus holds the statuses by which a host says that nothing ran, and what is read in them.
+// TestGoldenHostStatus checks the statuses by which a host reports that a request did not run, and how each is classified.
 func TestGoldenHostStatus(t *testing.T) {
 	errs := []struct {
 		name string
@@ -118,7 +118,7 @@
 	}
 }
 
-// TestGoldenTrailer holds the names and forms of the trailing metadata, both ways.
+// TestGoldenTrailer checks the keys and formats of the trailing metadata, for writing and for reading.
 func TestGoldenTrailer(t *testing.T) {
 	answer := edge.Answer{Role: rolePrimary, Position: 1.7e12 + 0.25, LoadReport: "x0=1700000000.25,x1=1"}
 	var out bytes.Buffer
@@ -147,7 +147,7 @@
 	require.Equal(t, committed, writeTrailer(&read))
 }
 
-// TestGoldenStatementErrors holds the statuses of statements that are not run: of a front that has no list of hosts yet.
+// TestGoldenStatementErrors checks the statuses of statements that are rejected by a front without an endpoint list.
 func TestGoldenStatementErrors(t *testing.T) {
 	f := &Front{}
 	var out bytes.Buffer
@@ -161,7 +161,7 @@
 	golden(t, "statement-errors.txt", out.Bytes())
 }
 
-// TestGoldenTicket holds the ticket, which clients bring back and another pooler may get.
+// TestGoldenTicket checks the format of the ticket, which a client may present to another pooler.
 func TestGoldenTicket(t *testing.T) {
 	b, err := flightsql.CreateStatementQueryTicket([]byte("/* id=1,c=browse,d=900,cluster=1 */ SELECT 1"))
 	require.NoError(t, err)
@@ -173,7 +173,7 @@
 	require.Equal(t, "/* id=1,c=browse,d=900,cluster=1 */ SELECT 1", string(ticket.GetStatementHandle()))
 }
 
-// TestGoldenRecords holds an answer's row in Arrow's stream form.
+// TestGoldenRecords checks the encoding of an answer's row in the Arrow stream format.
 func TestGoldenRecords(t *testing.T) {
 	var out bytes.Buffer
 	for _, a := range []edge.Answer{
@@ -194,7 +194,7 @@
 	golden(t, "records.txt", out.Bytes())
 }
 
-// codeOf is how an exchange ended that a host's error ended before a message of a result came.
+// codeOf returns the outcome code of an exchange that a host's error ended before any message of the result arrived.
 func codeOf(err error) dispatch.Code {
 	code, _ := classifyError(err, exchangeFacts{})
 	return code
--- a/internal/net/flight/hosts.go
+++ b/internal/net/flight/hosts.go
@@ -26,26 +26,26 @@
 	"ashstand/internal/sqlcomment"
 )
 
-// Hosts reaches db hosts that speak Flight SQL, over one HTTP/2 connection to each.
+// Hosts is the backend for database hosts that speak Flight SQL. It keeps one HTTP/2 connection to each host.
 type Hosts struct {
 	// IsListed reports whether anything new, a handshake included, may be sent to a host. It must be set before the first
 	// use; nil permits every host.
 	IsListed func(name string) bool
 
-	connect time.Duration // timeout; 0: none
+	connectTimeout time.Duration // connect timeout; 0 means none
 
-	mu    sync.Mutex // guards hosts and what they hold
+	mu    sync.Mutex // guards hosts and the fields of each host
 	hosts map[string]*host
 }
 
 type host struct {
 	address string
-	cc      *grpc.ClientConn // nil until it is needed
+	cc      *grpc.ClientConn // nil until the first request
 }
 
-// NewHosts returns a backend. A connection that is not open after connect counts as failed.
+// NewHosts returns a backend. A connection that is not open after the timeout connect counts as failed; 0 means no timeout.
 func NewHosts(connect time.Duration) *Hosts {
-	return &Hosts{connect: connect, hosts: map[string]*host{}}
+	return &Hosts{connectTimeout: connect, hosts: map[string]*host{}}
 }
 
 // SetAddress implements edge.Backend.
@@ -65,7 +65,7 @@
 	}
 }
 
-// CloseIdle implements edge.Backend. One connection carries all requests to a host, so none is closed.
+// CloseIdle implements edge.Backend. It does nothing, because one connection carries all requests to a host.
 func (h *Hosts) CloseIdle(string) {}
 
 // Close ends all connections.
@@ -79,10 +79,10 @@
 	}
 }
 
-// singleStream are credentials that let a call open one stream and no more. gRPC opens a second one by itself when a server or a
-// broken connection reports that it did not process the first, whatever WithDisableRetry is set to; whether a request is
-// retried is dispatch's decision alone. gRPC requests credentials once for each stream that it opens, and a call whose
-// credentials fail ends there.
+// singleStream implements per-RPC credentials that let a call open only one stream. Regardless of WithDisableRetry, gRPC
+// transparently opens a second stream when a server or a broken connection reports that it did not process the first, but only
+// package dispatch may decide whether a request is retried. gRPC requests credentials once for each stream that it opens, and a
+// call whose credentials fail ends there.
 type singleStream struct{}
 
 type singleStreamKey struct{}
@@ -96,12 +96,13 @@
 	return nil, nil
 }
 
-// withSingleStream marks the context of one call.
+// withSingleStream returns the context for one call, which may open a single stream.
 func withSingleStream(ctx context.Context) context.Context {
 	return context.WithValue(ctx, singleStreamKey{}, new(atomic.Bool))
 }
 
-// checkDialTarget fails where a connection to an address is not to be made any more. After a failure gRPC also dials by itself.
+// checkDialTarget returns an error if no connection to a host's address may be made any more. The dialer has to check this itself,
+// because gRPC also redials on its own after a failure.
 func (h *Hosts) checkDialTarget(name, address string) error {
 	if h.IsListed != nil && !h.IsListed(name) {
 		return edge.ErrUnlisted
@@ -119,11 +120,11 @@
 	errNoAddress      = errors.New("discovery has given no address for this host")
 )
 
-// replacedConnLifetime is how long the connection to a host's former address stays open. Open requests still get their answers;
-// the longest class decides how long that may take.
+// replacedConnLifetime is how long the connection to a host's former address stays open, so that open requests still get their
+// answers. It has to cover the longest deadline of any request class.
 const replacedConnLifetime = 15 * time.Second
 
-func (h *Hosts) dial(name string) (*grpc.ClientConn, error) {
+func (h *Hosts) clientConn(name string) (*grpc.ClientConn, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	o := h.hosts[name]
@@ -144,7 +145,7 @@
 			if err := h.checkDialTarget(name, address); err != nil {
 				return nil, err
 			}
-			c, err := (&net.Dialer{Timeout: h.connect}).DialContext(ctx, "tcp", address)
+			c, err := (&net.Dialer{Timeout: h.connectTimeout}).DialContext(ctx, "tcp", address)
 			if err != nil {
 				return nil, err
 			}
@@ -158,23 +159,24 @@
 	return cc, err
 }
 
-// Acquire implements edge.Backend. It waits until the connection is open: what is sent before can fail in ways that prove nothing.
+// Acquire implements edge.Backend. It waits until the connection is open: if a request is sent earlier, its failure does not prove
+// whether the request ran.
 func (h *Hosts) Acquire(ctx context.Context, name string) (edge.Conn, error) {
-	cc, err := h.dial(name)
+	cc, err := h.clientConn(name)
 	if err != nil {
 		return nil, err
 	}
-	if h.connect > 0 {
+	if h.connectTimeout > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, h.connect)
+		ctx, cancel = context.WithTimeout(ctx, h.connectTimeout)
 		defer cancel()
 	}
 	for tried := false; ; {
-		now, err := h.dial(name)
+		now, err := h.clientConn(name)
 		if err != nil {
 			return nil, err
 		}
-		if now != cc { // its address changed meanwhile
+		if now != cc { // the host's address has changed meanwhile
 			cc, tried = now, false
 		}
 		state := cc.GetState()
@@ -187,7 +189,7 @@
 			if h.IsListed != nil && !h.IsListed(name) {
 				return nil, edge.ErrUnlisted
 			}
-			if tried { // a new attempt, not what is left of an old one
+			if tried { // this call has seen its own dial fail, not an earlier one
 				return nil, fmt.Errorf("%s does not take connections", name)
 			}
 			cc.ResetConnectBackoff()
@@ -202,7 +204,7 @@
 	}
 }
 
-// conn is one request's use of a host's connection.
+// conn is the use of a host's shared connection by one request.
 type conn struct{ client flight.Client }
 
 // Exchange implements edge.Conn.
@@ -230,15 +232,15 @@
 func failedReply(err error, trailer metadata.MD, facts exchangeFacts) edge.Reply {
 	r := edge.Reply{Detail: err.Error()}
 	code, execution := classifyError(err, facts)
-	if code != dispatch.Malformed { // which teaches nothing
+	if code != dispatch.Malformed { // a malformed answer's trailer is not trusted
 		r.Outcome = readTrailer(trailer, &r.Answer)
 	}
 	r.Code, r.Execution = code, execution
 	return r
 }
 
-// endedReply is the reply for a stream that brought no answer. Only one that gRPC itself ended has its trailer: what was given up
-// because of its content may still be arriving.
+// endedReply returns the reply for a stream that ended without a valid answer. It reads the trailer only if gRPC itself ended the
+// stream: a stream that was abandoned because of its content may still be receiving.
 func endedReply(err error, stream grpc.ClientStream, facts exchangeFacts) edge.Reply {
 	if code, _ := classifyError(err, facts); code == dispatch.Malformed {
 		return failedReply(err, nil, facts)
@@ -246,7 +248,7 @@
 	return failedReply(err, stream.Trailer(), facts)
 }
 
-// query runs a read. The ticket costs a round trip in which nothing runs, so the gate is called again after it.
+// query runs a read. Requesting the ticket takes a round trip in which nothing runs, so the gate is called again after it.
 func (c *conn) query(ctx context.Context, text string, gate edge.Gate) edge.Reply {
 	d, err := commandDescriptor(&pb.CommandStatementQuery{Query: text})
 	if err != nil {
@@ -263,7 +265,7 @@
 		return edge.NotSent()
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	defer cancel() // a stream that is not read to its end is given up
+	defer cancel() // aborts a stream that was not read to its end
 	var trailer metadata.MD
 	stream, err := c.client.DoGet(withSingleStream(ctx), info.Endpoint[0].Ticket, grpc.Trailer(&trailer))
 	if err != nil {
@@ -290,11 +292,11 @@
 	stream, err := c.client.DoPut(withSingleStream(ctx))
 	if ctx.Err() != nil {
 		return edge.NotSent()
-	} else if err != nil { // the stream did not open, and the statement is not yet written
+	} else if err != nil { // the stream did not open, so the statement was not sent
 		return edge.NotBegun(dispatch.NoConnection, err.Error())
 	}
-	// From here on the host may have it, whatever an error says of the connection.
-	_ = stream.Send(&flight.FlightData{FlightDescriptor: d}) // its error comes from Recv, with the status
+	// From here on the host may have received the statement, whatever a connection error says.
+	_ = stream.Send(&flight.FlightData{FlightDescriptor: d}) // Recv returns the error, with its status
 	_ = stream.CloseSend()
 	rows, hasBegun, err := receiveUpdateResult(stream)
 	if errors.Is(err, io.EOF) {
@@ -306,8 +308,8 @@
 	return updateReply(rows, stream.Trailer())
 }
 
-// receiveUpdateResult reads the count of rows, and the stream to its end: only the trailer proves that the write was committed.
-// hasBegun: a result came, whatever came behind it.
+// receiveUpdateResult reads the row count, and then the stream to its end, because only the trailer proves that the write was
+// committed. hasBegun reports whether a result message arrived, even if an error followed it.
 func receiveUpdateResult(stream pb.FlightService_DoPutClient) (rows int64, hasBegun bool, err error) {
 	put, err := stream.Recv()
 	if err != nil {
@@ -325,7 +327,7 @@
 	return result.RecordCount, true, nil
 }
 
-// updateReply is the reply for a write that was committed.
+// updateReply returns the reply for a write that was committed.
 func updateReply(rows int64, trailer metadata.MD) edge.Reply {
 	r := edge.Reply{Answer: edge.Answer{
 		Column: "payload", Type: oidBytea, Binary: true, Null: true,
--- a/internal/net/flight/hosts_test.go
+++ b/internal/net/flight/hosts_test.go
@@ -15,8 +15,8 @@
 	"ashstand/internal/sqlcomment"
 )
 
-// refuser is a server that refuses every stream, which tells gRPC that it may open another by itself.
-func refuser(t *testing.T) (address string, streams *atomic.Int32) {
+// startRefusingServer starts a server that refuses every stream with REFUSED_STREAM, after which gRPC may transparently retry the call.
+func startRefusingServer(t *testing.T) (address string, streams *atomic.Int32) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
@@ -55,9 +55,9 @@
 	return l.Addr().String(), streams
 }
 
-// Guards against gRPC's transparent retry, which no option turns off: a donate would be sent twice.
+// Guards against gRPC's transparent retry, which no option disables: a request of the write class donate would be sent twice.
 func TestGRPCSendsNothingAgainByItself(t *testing.T) {
-	address, streams := refuser(t)
+	address, streams := startRefusingServer(t)
 	h := NewHosts(5 * time.Second)
 	defer h.Close()
 	h.SetAddress("h", address)
--- a/internal/net/flight/record.go
+++ b/internal/net/flight/record.go
@@ -13,7 +13,7 @@
 	"ashstand/internal/edge"
 )
 
-// PostgreSQL's object ids of the two types that a value can have here.
+// PostgreSQL's object IDs of the two types that a value can have in this package.
 const (
 	oidBytea = 17
 	oidText  = 25
@@ -21,9 +21,9 @@
 
 var errAnswerTooLong = errors.New("the answer is too long")
 
-// recordBatch makes the one row of an answer.
+// recordBatch returns the single row of an answer, with its schema.
 func recordBatch(a *edge.Answer) (*arrow.Schema, arrow.RecordBatch) {
-	text := a.Type != oidBytea && !a.Binary // text of any other type stays text
+	text := a.Type != oidBytea && !a.Binary // a value in text format is sent as a string, whatever its type
 	kind := arrow.DataType(arrow.BinaryTypes.Binary)
 	if text {
 		kind = arrow.BinaryTypes.String
@@ -48,11 +48,11 @@
 	return schema, b.NewRecordBatch()
 }
 
-// boundedReader ends a stream that grows beyond an answer's bound.
+// boundedReader ends a stream with errAnswerTooLong once it exceeds the maximum size of an answer.
 type boundedReader struct {
 	flight.DataStreamReader
 	remaining   int
-	hasReceived bool // a message came
+	hasReceived bool // at least one message has arrived
 }
 
 func (r *boundedReader) Recv() (*flight.FlightData, error) {
@@ -66,10 +66,10 @@
 	return d, err
 }
 
-// readAnswer reads a stream to its end before anything of it is passed on: one that is cut off half-way is a reset, not a short
-// answer.
+// readAnswer reads a stream to its end before any of it is passed on: a stream that is cut off part-way counts as a reset, not as
+// a short answer.
 func readAnswer(stream *boundedReader, a *edge.Answer) (err error) {
-	defer func() { // the library trusts some lengths of its input
+	defer func() { // the Arrow library panics on some invalid lengths in its input
 		if p := recover(); p != nil {
 			err = fmt.Errorf("the answer can't be read: %v", p)
 		}
--- a/internal/net/flight/status.go
+++ b/internal/net/flight/status.go
@@ -1,11 +1,11 @@
-// Package flight speaks Arrow Flight SQL: a front for clients and a backend for database hosts, on the same core and under the
-// same rules as PostgreSQL's protocol.
+// Package flight implements Arrow Flight SQL: a front for clients and a backend for database hosts. Both use the same core and
+// follow the same rules as for PostgreSQL's protocol.
 //
-// A statement has the same comment as on every wire. Reads are queries: GetFlightInfo makes a ticket and runs nothing, DoGet
-// runs it. Writes are DoPut with CommandStatementUpdate. What PostgreSQL's protocol reports in parameters stands in the trailing
-// metadata: part, caught_up_to and gauges, and what a write returned in returning-bin.
+// A statement has the same comment as in the other protocols. A read is a query: GetFlightInfo returns a ticket without running
+// the statement, and DoGet runs it. A write is a DoPut with CommandStatementUpdate. The trailing metadata carries what PostgreSQL's
+// protocol reports in parameters (part, caught_up_to and gauges), and in returning-bin the value that a write returned.
 //
-// gRPC owns the goroutines and sockets of both sides. Front.Drain and Front.Stop end the front's; Hosts.Close ends the
+// gRPC owns the goroutines and sockets of both sides. Front.Drain and Front.Stop end those of the front; Hosts.Close closes the
 // backend's connections.
 package flight
 
@@ -39,29 +39,29 @@
 	roleReplica = "replica"
 )
 
-// A host reports that nothing ran by an ErrorInfo of this domain with one of these reasons, and in no other way: a bare
-// Unavailable may come from a host or a proxy that crashed while the request was running.
+// A host reports that a request did not run only by an ErrorInfo of this domain with one of these reasons. An Unavailable without
+// it may come from a host or a proxy that crashed while the request was running.
 const (
 	domain               = "ashstand"
-	reasonNotPrimary     = "NOT_PRIMARY"    // with FailedPrecondition: a write, and this is no primary
-	reasonBehind         = "TOO_FAR_BEHIND" // with FailedPrecondition: a read that needs newer data
+	reasonNotPrimary     = "NOT_PRIMARY"    // with FailedPrecondition: a write at a host that is not the primary
+	reasonBehind         = "TOO_FAR_BEHIND" // with FailedPrecondition: a read that needs newer data than the host has
 	reasonHostRejected   = "TURNED_AWAY"    // with Unavailable or ResourceExhausted: at capacity, draining, or stopped
-	reasonPoolerRejected = "REFUSED"        // with Unavailable and RetryInfo: what the front itself rejects
+	reasonPoolerRejected = "REFUSED"        // with Unavailable and RetryInfo: a rejection by the front itself
 )
 
 // Bounds on what a peer may send, in bytes.
 const (
 	maxRequest = 192 << 10
 	maxAnswer  = 256 << 10
-	maxHeaders = 192 << 10 // a returned value stands in the metadata, in base64
+	maxHeaders = 192 << 10 // the trailing metadata can hold a returned value, in base64
 )
 
-// maxPosition is the first number of milliseconds that is no position: above, a float64 has no room for fractions.
+// maxPosition is the exclusive upper bound of a position in milliseconds: from there on, a float64 can't hold fractions.
 const maxPosition = 1 << 52
 
 var errUnexpectedAnswer = errors.New("an answer of a form that no request asks for")
 
-// newStatus returns a status error with the details that are not empty.
+// newStatus returns a status error. It adds an ErrorInfo if reason is not empty, and a RetryInfo if retryAfterMillis is above 0.
 func newStatus(code codes.Code, text, reason string, retryAfterMillis float64) error {
 	s := status.New(code, text)
 	var details []protoadapt.MessageV1
@@ -81,11 +81,11 @@
 	return s.Err()
 }
 
-// resultStatus returns the status of a final answer that is not a host's.
+// resultStatus returns the status error for a final answer that does not come from a host.
 func resultStatus(r *edge.Result) error {
 	switch r.Verdict {
 	case edge.Rejected:
-		if r.IsRejection() { // else it may have run, and has failed
+		if r.IsRejection() { // otherwise the request may have run
 			return newStatus(codes.Unavailable, r.Detail, reasonPoolerRejected, r.RetryAfterMillis)
 		}
 	case edge.TimedOut:
@@ -98,25 +98,26 @@
 	return newStatus(codes.Unknown, r.Detail, "", 0)
 }
 
-// exchangeFacts are what is known of a request when its exchange fails.
+// exchangeFacts describes what is known about a request when its exchange fails.
 type exchangeFacts struct {
 	isWrite  bool
-	hasBegun bool // a message of a result came
+	hasBegun bool // a message of the result has arrived
 }
 
-// classifyError returns how an exchange ended that a host's error ended once the request was sent, and what that proves.
+// classifyError converts the error that ended an exchange after its request was sent into an outcome code, and into what the error
+// proves about the execution of the request.
 func classifyError(err error, facts exchangeFacts) (dispatch.Code, dispatch.Execution) {
 	execution := dispatch.MayHaveRun
 	if facts.hasBegun {
 		execution = dispatch.Ran
 	}
 	s, ok := status.FromError(err)
-	if errors.Is(err, errUnexpectedAnswer) || !ok { // what gRPC delivered was no answer
+	if errors.Is(err, errUnexpectedAnswer) || !ok { // what gRPC delivered was not a valid answer
 		return dispatch.Malformed, execution
 	}
 	for _, d := range s.Details() {
 		info, ok := d.(*errdetails.ErrorInfo)
-		if !ok || info.Domain != domain || facts.hasBegun { // behind a part of a result no reason proves anything
+		if !ok || info.Domain != domain || facts.hasBegun { // after part of a result, a reason proves nothing
 			continue
 		}
 		if code, proof := rejection(s.Code(), info.Reason, facts.isWrite); code != dispatch.ServerError {
@@ -134,8 +135,9 @@
 	return dispatch.ServerError, execution
 }
 
-// rejection returns the code for a status with a reason of the domain, and what that proves; ServerError where it is no rejection.
-// A read has nothing to do with the primary's role, and a write nothing with the age of data: such a status contradicts itself.
+// rejection returns the outcome code for a status with a reason of the domain, and what it proves about the execution. The code is
+// ServerError if the status is not a rejection. A read does not need the primary, and a write does not depend on the age of data:
+// a status that says otherwise is contradictory and does not prove that the request did not run.
 func rejection(code codes.Code, reason string, isWrite bool) (dispatch.Code, dispatch.Execution) {
 	switch {
 	case code == codes.FailedPrecondition && (reason == reasonNotPrimary || reason == reasonBehind):
@@ -150,7 +152,7 @@
 	return dispatch.ServerError, dispatch.MayHaveRun
 }
 
-// readTrailer reads the trailing metadata into an answer and the outcome that it reports.
+// readTrailer copies the trailing metadata into an answer and returns the outcome that the metadata reports.
 func readTrailer(md metadata.MD, a *edge.Answer) dispatch.Outcome {
 	get := func(name string) string {
 		if v := md.Get(name); len(v) > 0 {
