--- a/internal/wire/actions.go
+++ b/internal/wire/actions.go
@@ -7,7 +7,8 @@
 	"ashstand/routing"
 )
 
-var verbs = [...]string{
+// messageNames holds the simulator's message name for each kind of action.
+var messageNames = [...]string{
 	routing.ActSend:      "TRANSMIT",
 	routing.ActCancel:    "CANCEL",
 	routing.ActReject:    "REFUSE",
@@ -19,10 +20,10 @@
 	routing.ActCloseIdle: "CLOSE",
 }
 
-// AppendActions adds the lines of an instance's actions to b.
+// AppendActions appends the lines for an instance's actions to b and returns the extended buffer.
 func AppendActions(b []byte, instance int, actions []routing.Action) []byte {
 	for i := range actions {
-		b = append(b, verbs[actions[i].Kind]...)
+		b = append(b, messageNames[actions[i].Kind]...)
 		b = append(b, " who="...)
 		b = strconv.AppendInt(b, int64(instance), 10)
 		b = appendFields(b, &actions[i])
--- a/internal/wire/decoder.go
+++ b/internal/wire/decoder.go
@@ -1,5 +1,5 @@
-// Package wire translates between the lines of the simulator and the events and actions of package routing. It parses,
-// formats and converts units, and decides nothing.
+// Package wire translates between the lines of the simulator's protocol and the events and actions of package routing. It parses,
+// formats and converts units, and makes no routing decisions.
 package wire
 
 import (
@@ -21,14 +21,14 @@
 	Event      routing.Event
 }
 
-// Batch is what happened at one moment, in order of arrival.
+// Batch holds the messages of one moment, in order of arrival.
 type Batch struct {
 	Now   time.Duration
 	Seq   string
 	Items []Item
 }
 
-// Decoder reads batches. Its errors are *LineError, or those of its reader.
+// Decoder reads batches. Its errors are of type *LineError, or come from its reader.
 type Decoder struct {
 	r         *bufio.Reader
 	line      int
@@ -39,10 +39,11 @@
 // instance holds what is needed to convert the units and names of one instance.
 type instance struct {
 	classes        map[string]int
-	tenants        map[string]int // from 1
+	tenants        map[string]int // values start at 1
 	positionOrigin time.Duration
-	positionColumn int // place in a load report; -1: none
-	roleColumn     int // the same
+	// positionColumn and roleColumn are indexes into the values of a load report; -1 means that it has no such value.
+	positionColumn int
+	roleColumn     int
 }
 
 const readBufferBytes = 1 << 16
@@ -56,7 +57,7 @@
 	}
 }
 
-// Next reads a batch. It returns io.EOF where the input ends between batches.
+// Next reads a batch. It returns io.EOF if the input ends between batches.
 func (d *Decoder) Next() (*Batch, error) {
 	m, err := d.nextMessage()
 	for err == nil && m.name == "" {
@@ -90,7 +91,7 @@
 	return nil, &LineError{Line: d.line, Cause: m.fault}
 }
 
-// register reads an endpoint list, which TARGETS messages refer to by its number.
+// register reads an endpoint list and stores it under its number, by which TARGETS messages refer to it.
 func (d *Decoder) register(m *message) error {
 	list, rows := m.integer("list"), m.integer("rows")
 	if rows < 0 {
--- a/internal/wire/errors.go
+++ b/internal/wire/errors.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// LineError says in which line of the input something is at fault; Cause says what, often a *FieldError.
+// LineError reports the line of the input that is invalid. Cause is the reason, often a *FieldError.
 type LineError struct {
-	Line  int // from 1
+	Line  int // the first line is 1
 	Cause error
 }
 
@@ -14,9 +14,9 @@
 // Unwrap returns the cause.
 func (e *LineError) Unwrap() error { return e.Cause }
 
-// FieldError says which field of a message is missing or malformed.
+// FieldError reports which field of a message is missing or malformed.
 type FieldError struct {
-	Message string // its name, such as REQUEST
+	Message string // the message's name, such as REQUEST
 	Field   string
 	Reason  string
 }
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -11,25 +11,26 @@
 	"ashstand/routing"
 )
 
-// A mark holds a role in its lowest bits, and above them a position in milliseconds from the origin.
+// The field mark of an OUTCOME holds a role in its lowest two bits. The bits above them hold a position in milliseconds, relative
+// to the position origin of the settings.
 const (
 	markRoles = 4
 	maxRole   = uint64(routing.Replica)
 )
 
-// maxReportValue bounds the values of a load report.
+// maxReportValue is the largest absolute value that is accepted in a load report.
 const maxReportValue = 1e9
 
-// primaryRoleValue is the least value with which a load report names its host primary.
+// primaryRoleValue is the smallest value in the role column of a load report by which a host reports that it is the primary.
 const primaryRoleValue = 0.5
 
-// ending is what a word of the simulator says of how an attempt ended, and of whether its request ran.
-type ending struct {
+// outcomeCode describes how an attempt ended and whether its request ran, according to the simulator's outcome code.
+type outcomeCode struct {
 	code      routing.Code
 	execution routing.Execution
 }
 
-var endings = map[string]ending{
+var outcomeCodes = map[string]outcomeCode{
 	"served":          {routing.OK, routing.Ran},
 	"server_error":    {routing.ServerError, routing.MayHaveRun},
 	"turned_away":     {routing.Rejected, routing.RejectedUnexecuted},
@@ -41,7 +42,7 @@
 	"not_stored":      {routing.Misdirected, routing.RejectedUnexecuted},
 }
 
-// item adds a message to the batch. Faults of fields stay with the message.
+// item adds a message to the batch. An invalid field is recorded in the message's fault, not returned.
 func (d *Decoder) item(m *message, b *Batch) error {
 	it := Item{Instance: m.integer("who")}
 	in := d.instances[it.Instance]
@@ -73,7 +74,7 @@
 	return nil
 }
 
-// event converts a message; ok is false for one of an unknown name.
+// event converts a message to an event; ok is false if the message's name is unknown.
 func (d *Decoder) event(m *message, in *instance) (e routing.Event, ok bool) {
 	switch m.name {
 	case "TARGETS":
@@ -88,10 +89,10 @@
 		e = routing.ClientGone{ID: m.text("call")}
 	case "WAKEUP":
 		e = routing.TimerFired{}
-		m.unsigned("nonce") // timers are not told apart, but the field has to be there
+		m.unsigned("nonce") // the value is not used, but the field is required
 	case "PROBE_DONE":
 		e = routing.ProbeEnded{
-			Host: m.text("host"), Code: m.ending().code, Report: m.report(in),
+			Host: m.text("host"), Code: m.outcomeCode().code, Report: m.report(in),
 			Elapsed: m.millis("time_taken_ms"),
 		}
 	case "DATAGRAM":
@@ -137,7 +138,7 @@
 }
 
 func (m *message) outcome(in *instance) routing.AttemptEnded {
-	ended := m.ending()
+	ended := m.outcomeCode()
 	e := routing.AttemptEnded{
 		ID: m.text("call"), Attempt: m.integer("hop"), Host: m.text("host"),
 		Code: ended.code, Execution: ended.execution, Elapsed: m.millis("time_taken_ms"), Final: m.flag("final"),
@@ -152,8 +153,8 @@
 	return e
 }
 
-func (m *message) ending() ending {
-	e, ok := endings[m.text("code")]
+func (m *message) outcomeCode() outcomeCode {
+	e, ok := outcomeCodes[m.text("code")]
 	if !ok {
 		m.fail("code", "%q is unknown", m.fields["code"])
 	}
@@ -170,7 +171,7 @@
 	}
 }
 
-// report converts the load report of a message, where there is one.
+// report converts the load report of a message. It returns an empty report if the message has none.
 func (m *message) report(in *instance) routing.Report {
 	var r routing.Report
 	text := m.fields["telemetry"]
@@ -178,7 +179,7 @@
 		return r
 	}
 	values := strings.Split(text, ",")
-	if in.positionColumn >= 0 { // rounded down, so that nothing unproven is claimed
+	if in.positionColumn >= 0 { // rounded down, so that the position is never ahead of the reported one
 		micros := math.Floor(m.reportValue(values, in.positionColumn) * 1e6)
 		r.Position = in.positionOrigin + time.Duration(micros)*time.Microsecond
 	}
@@ -203,7 +204,7 @@
 	return x
 }
 
-// settings reads the settings of an instance that opens.
+// settings reads the settings from an OPEN_INSTANCE message, and stores in the instance what is needed to convert its messages.
 func (m *message) settings(in *instance) routing.Settings {
 	p, err := settings.Parse([]byte(m.text("info")))
 	if err != nil {
--- a/internal/wire/message.go
+++ b/internal/wire/message.go
@@ -12,20 +12,20 @@
 	"ashstand/internal/settings"
 )
 
-// maxMillis bounds the times that are taken from a message, so that they fit into a time.Duration.
+// maxMillis is the largest absolute time that is accepted in a message, so that every time fits into a time.Duration.
 const maxMillis = 1e12
 
-// message is one line cut into its fields. Its readers keep the first fault found.
+// message is one line split into its fields. The methods that read fields record the first fault and go on.
 type message struct {
 	name   string
 	fields map[string]string
 	fault  error
 }
 
-// trailingFields names the field of a message that runs to the end of its line.
+// trailingFields maps a message's name to the field whose value extends to the end of the line.
 var trailingFields = map[string]string{"OPEN_INSTANCE": "info"}
 
-// nextMessage reads a line. It returns io.EOF where the input ends before it.
+// nextMessage reads and splits a line. It returns io.EOF if there are no more lines.
 func (d *Decoder) nextMessage() (*message, error) {
 	text, err := d.r.ReadString('\n')
 	if err != nil && (text == "" || !errors.Is(err, io.EOF)) {
@@ -54,7 +54,7 @@
 	return m, nil
 }
 
-// faultf returns a fault of the line that was read last.
+// faultf returns a *LineError for the line that was read last.
 func (d *Decoder) faultf(format string, args ...any) error {
 	return &LineError{Line: d.line, Cause: fmt.Errorf(format, args...)}
 }
@@ -89,7 +89,7 @@
 	return n
 }
 
-// optionalUnsigned is unsigned, and 0 for a field that is not there.
+// optionalUnsigned is like unsigned, but returns 0 if the field is missing.
 func (m *message) optionalUnsigned(field string) uint64 {
 	if _, ok := m.fields[field]; !ok {
 		return 0
@@ -117,7 +117,7 @@
 	return settings.Millis(x)
 }
 
-// optionalMillis is millis, and 0 for a field that is not there.
+// optionalMillis is like millis, but returns 0 if the field is missing.
 func (m *message) optionalMillis(field string) time.Duration {
 	if _, ok := m.fields[field]; !ok {
 		return 0
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// Each fault is named by line and field.
+// Each error must name the line and the field that are invalid.
 func TestFaults(t *testing.T) {
 	for _, k := range []struct{ in, want string }{
 		{"EOF_BATCH\n", `line 1: "EOF_BATCH" where a batch begins`},
