--- a/routing/admission.go
+++ b/routing/admission.go
@@ -84,7 +84,7 @@
 	if req.sample > 1-g.admissions[k.servingRole].shedFraction**mean/max(req.weight, 1e-9) {
 		r.giveUp(req, EndShed)
 		return
-	} else if req.isRetry { // the request that its client repeats has drawn already
+	} else if req.isRetry { // the original request has already drawn on slow start's budgets
 		req.useUpSample()
 	}
 	r.dispatch(req)
--- a/routing/attempts.go
+++ b/routing/attempts.go
@@ -263,7 +263,7 @@
 	}
 }
 
-// handleClientGone ends a client's request. Its pending attempts count as lost: they took too long for it.
+// handleClientGone ends a request whose client is gone. Pending attempts count as lost: they took too long.
 func (r *Router) handleClientGone(id string) {
 	req := r.requests[id]
 	if req == nil || req.finished {
@@ -277,7 +277,7 @@
 	r.finish(req, false)
 }
 
-// finish ends a request and cancels the attempts that are still in flight.
+// finish ends a request. With CancelAllowed, it cancels the attempts of an idempotent one still in flight.
 func (r *Router) finish(req *request, inTime bool) {
 	if k := req.class; !req.isRetry && !req.finished {
 		k.samples = min(k.samples+1, maxSamples)
@@ -300,6 +300,7 @@
 }
 
 // giveUp ends a request now: with a rejection if a retry by the client is harmless, else with a failure.
+// Retry-After is short only if a late answer has value and, where the primary is needed, there is one.
 func (r *Router) giveUp(req *request, reason EndReason) {
 	k := req.class
 	answer := Action{Kind: ActFail, ID: req.id, Reason: reason}
--- a/routing/groupclock.go
+++ b/routing/groupclock.go
@@ -6,6 +6,8 @@
 )
 
 // groupClock relates the clock on which a group's positions are given, that of its primary, to the router's.
+// A position is a time on that clock: a host at a position has the commits up to that time.
+//
 // The router's machine may have started with a wall clock that was behind. The present time that a primary
 // reports is then ahead of the router's, and data that is far too old would look fresh.
 //
@@ -17,13 +19,13 @@
 type groupClock struct {
 	source       *member         // the member that sent the reports
 	reports      []time.Duration // how far each was ahead of the router's clock; negative: behind
-	lead         time.Duration   // how far ahead reads take the group's clock to be
+	lead         time.Duration   // how far ahead of the router's clock reads take the group's to be
 	provenLead   time.Duration   // the lead on which enough reports agree; a position beyond it is garbled
 	leadProvenAt time.Duration   // when enough reports last agreed on that lead, or on a greater one
-	lag          time.Duration   // how far behind slow start takes the group's clock to be; 0 if it leads
+	lag          time.Duration   // how far behind the router's slow start takes it to be; 0 if it leads
 }
 
-// present returns the time now on the clock on which a group's positions are given.
+// groupNow returns the present time on the clock on which a group's positions are given.
 func (r *Router) groupNow(g *group) time.Duration { return r.now + g.clock.lead }
 
 // isAheadOfGroupClock reports whether a position is ahead of the group's clock, so that no host can have it.
@@ -35,7 +37,9 @@
 	return position > latest
 }
 
-// observeClock records the present time as a primary reports it.
+// observeClock records the present time as the group's primary reports it. While the group has no primary,
+// the report of any member that claims the role counts. When the reporting member changes, its predecessor's
+// reports are discarded.
 func (r *Router) observeClock(m *member, position time.Duration) {
 	c := &m.group.clock
 	if primary := m.group.primary(); primary != nil && primary != m {
--- a/routing/members.go
+++ b/routing/members.go
@@ -138,6 +138,8 @@
 		g.admissions[forPrimary].inTimeFraction = initialInTimeFraction
 		r.groups[t.Group] = g
 	}
+	// The member is inactive until the caller activates it. If its entry says that it is draining, it stays
+	// inactive, and memberRetention counts from now.
 	m := &member{host: t.Host, group: g, removedAt: r.now}
 	m.limit, m.inFlightByClass = initialLimit, make([]int, len(r.classes))
 	r.members[t.Host] = m
--- a/routing/replica.go
+++ b/routing/replica.go
@@ -48,7 +48,7 @@
 	return outlier
 }
 
-// candidates sorts the replicas of a request's group by how well they qualify for it.
+// candidates divides the replicas of a request's group into classes by how well they qualify for it.
 func (r *Router) candidates(req *request, primary *member) (found candidates) {
 	for _, m := range req.group.members {
 		if !m.active || m == primary || req.attempted(m) {
@@ -70,8 +70,8 @@
 			found.doubtful = append(found.doubtful, m)
 		}
 	}
-	// A long query stops a replica's log replay, so it runs where that costs least: on the replica furthest
-	// behind, if that one lags by the tightest staleness bound or more.
+	// A long query stops a replica's log replay. An eventual read may be one, so it runs where that costs
+	// least: on the replica furthest behind, if that one lags by the tightest staleness bound or more.
 	if req.class.Access == EventualRead {
 		hosts := found.proven
 		slices.SortStableFunc(hosts, func(a, b *member) int { return cmp.Compare(a.position, b.position) })
--- a/routing/slowstart.go
+++ b/routing/slowstart.go
@@ -159,9 +159,11 @@
 	return true
 }
 
-// sampleForReplica maps a request's sample to the one that counts for this replica. For each replica the
+// sampleForReplica maps a request's sample, its random number between 0 and 1, to the one that counts for
+// this replica, so that the replicas do not all grant or all refuse the same request. For each replica the
 // result is uniform between 0 and 1. For the same sample, each replica of the group gets a result in a
-// different part of that range.
+// different part of that range. The factor MaxInt32 turns the sample into an integer whose remainder, which
+// selects that part, depends on the low-order digits; the sample itself gives the place within the part.
 func (m *member) sampleForReplica(sample float64) float64 {
 	primary := m.group.primary()
 	count, index := 0, 0
--- a/routing/slowstart_status.go
+++ b/routing/slowstart_status.go
@@ -14,7 +14,7 @@
 	PathReplicaRead SlowStartPath = iota
 	PathPrimaryRead               // a read at the primary, strong reads included
 	PathWrite                     // a write at the primary
-	PathSearch                    // a write at a host that is not known to be the primary
+	PathSearch                    // a write that searches for the primary, at a host not known to be it
 	PathProbe
 	PathHandshake
 	slowStartPathCount
--- a/routing/types.go
+++ b/routing/types.go
@@ -73,7 +73,7 @@
 	Scope            DedupScope    // of a Deduplicated class
 	DedupWindow      time.Duration // how long repeats of a Deduplicated class are discarded
 	LatencyObjective time.Duration
-	Deadline         time.Duration // how long clients wait
+	Deadline         time.Duration // how long clients wait for an answer
 	PriorityWeight   float64
 	LateFraction     float64 // fraction of the weight that an answer after the latency objective is worth
 }
@@ -209,13 +209,13 @@
 
 // The reasons.
 const (
-	EndUnstated      EndReason = iota
-	EndUnknownGroup            // no endpoint list has named its group
-	EndShed                    // it was shed on arrival
-	EndTooLate                 // its time is over, or too short for an answer of any value
-	EndAttemptsUsed            // it had Settings.MaxAttempts attempts
-	EndNotRepeatable           // it may have run, and can't be repeated without harm
-	EndRetryBudget             // there is no retry budget left
+	EndUnstated      EndReason = iota // the router gave none: the shutdown ended the request
+	EndUnknownGroup                   // no endpoint list has named its group
+	EndShed                           // it was shed on arrival
+	EndTooLate                        // its time is over, or too short for an answer of any value
+	EndAttemptsUsed                   // it had Settings.MaxAttempts attempts
+	EndNotRepeatable                  // it may have run, and can't be repeated without harm
+	EndRetryBudget                    // there is no retry budget left
 	endReasonCount
 )
 
