--- a/internal/cluster/consensus/command.go
+++ b/internal/cluster/consensus/command.go
@@ -12,14 +12,16 @@
 	entry() logEntry
 }
 
-// proposeVersion makes a version pending.
+// proposeVersion is the log command that makes a version pending. The leader creates it from the message
+// VersionProposal; see prepareVersion.
 type proposeVersion struct {
 	ID      uint64 // the proposal's ID
 	Version Version
 }
 
-// applyJobEntry applies an entry about a job. If Change is not nil, it also creates a version: the active
-// rules with that change applied.
+// applyJobEntry is the log command that applies an entry about a job. The leader creates it from the message
+// JobProposal, see prepareJobEntry, or for its scheduler, see assignJobs. If Change is not nil, it also creates a
+// version: the active rules with that change applied.
 type applyJobEntry struct {
 	ID     uint64 // the proposal's ID
 	Entry  *jobs.Entry
--- a/internal/cluster/consensus/leader.go
+++ b/internal/cluster/consensus/leader.go
@@ -103,7 +103,7 @@
 	return true
 }
 
-// append proposes a command to the log.
+// append proposes a command for the log. The command takes effect only when its entry is committed and applied.
 func (n *Node) append(c command) error {
 	data, err := encodeCommand(c)
 	if err != nil {
--- a/internal/cluster/consensus/message.go
+++ b/internal/cluster/consensus/message.go
@@ -65,14 +65,16 @@
 	Jobs           []jobs.Job // jobs that changed since the revision of the request
 }
 
-// VersionProposal asks the leader to append a version. The ID makes the proposal idempotent.
+// VersionProposal is the message by which a pooler asks the leader to append a version. The leader puts it into
+// the log as a proposeVersion command. The ID makes the proposal idempotent.
 type VersionProposal struct {
 	ID      uint64
 	Version Version
 }
 
-// JobProposal asks the leader to append an entry about a job. If Change is not nil, the job's lease holder
-// also changes some of the active rules.
+// JobProposal is the message by which a pooler asks the leader to append an entry about a job. The leader puts it
+// into the log as an applyJobEntry command. If Change is not nil, the job's lease holder also changes some of the
+// active rules.
 type JobProposal struct {
 	ID     uint64
 	Entry  *jobs.Entry
--- a/internal/cluster/consensus/rulekeys.go
+++ b/internal/cluster/consensus/rulekeys.go
@@ -17,6 +17,8 @@
 	unordered
 )
 
+// isBool reports whether the values of rules with this ordering are bool. For all others, unordered included,
+// they are numbers.
 func (o ordering) isBool() bool { return o == falseIsStricter || o == trueIsStricter }
 
 // ruleKey describes the rules of one name. In the name, * stands for the name of a class, host or database.
@@ -88,7 +90,7 @@
 }
 
 // fencedValue is the value of an unordered rule while two values differ. The requests that the rule governs
-// are rejected.
+// are rejected. Such a rule is called fenced.
 type fencedValue struct{}
 
 // fencedJSON represents a fencedValue in JSON.
--- a/internal/cluster/consensus/rules.go
+++ b/internal/cluster/consensus/rules.go
@@ -142,7 +142,8 @@
 	return lines
 }
 
-// describe returns a rule's value for operators.
+// describe returns a rule's value for operators. For an absent rule it says that the platform's own setting
+// applies.
 func (r Rules) describe(name string) string {
 	if r.Fenced(name) {
 		return fencedJSON
--- a/internal/cluster/consensus/voters.go
+++ b/internal/cluster/consensus/voters.go
@@ -82,7 +82,9 @@
 	}
 }
 
-// admission returns the next step of admitting a voter; nil: the learner has to receive more of the log first.
+// admission returns the next step of admitting a voter. The first step adds the node as a learner. The second
+// makes the learner a voter and removes all other IDs of the same name. The result is nil if there is no
+// progress entry for the learner, or if it has to receive more of the log first.
 func (n *Node) admission(name string, id uint64) []*pb.ConfChangeSingle {
 	if !slices.Contains(n.replica.confState.GetLearners(), id) {
 		return []*pb.ConfChangeSingle{confChange(pb.ConfChangeType_ConfChangeAddLearnerNode, id)}
--- a/internal/cluster/membership/adapter.go
+++ b/internal/cluster/membership/adapter.go
@@ -81,7 +81,7 @@
 // messages that memberlist could not read.
 type memberlistLogWriter struct{ undecodable *atomic.Int64 }
 
-// Write logs one line.
+// Write logs one line, and counts it if it contains one of the undecodableLogFragments.
 func (w *memberlistLogWriter) Write(b []byte) (int, error) {
 	line := string(bytes.TrimSpace(b))
 	for _, fragment := range undecodableLogFragments {
--- a/internal/cluster/membership/delegate.go
+++ b/internal/cluster/membership/delegate.go
@@ -72,6 +72,8 @@
 	return result
 }
 
+// admitLocked asks the table for the decision, under the lock that it acquires itself. isNew reports whether
+// this is the first time that a notification of the name conflict is due; see Table.ShouldNotify.
 func (d *delegate) admitLocked(info Info) (result admissionResult, isNew bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -138,7 +140,7 @@
 func (d *delegate) observe(n *memberlist.Node, liveness Liveness) {
 	info, err := DecodeInfo(n.Name, n.Address(), n.Meta)
 	if err != nil {
-		return // admitNode has counted it
+		return // admitNode has already counted this decoding error
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/cluster/membership/table.go
+++ b/internal/cluster/membership/table.go
@@ -167,8 +167,9 @@
 	return out
 }
 
-// CommonFormats returns the range of message formats that all members can read, except dead ones. Members
-// that read no format in that range are returned as incompatible and do not narrow it.
+// CommonFormats returns the range of message formats common to this pooler and the members that are not dead. It
+// starts with this pooler's own range and narrows it by each member in order of name. A member that reads none of
+// the range so far is returned as incompatible and does not narrow it.
 func (t *Table) CommonFormats() (oldest, newest int, incompatible []string) {
 	oldest, newest = t.self.OldestFormat, t.self.NewestFormat
 	for _, m := range t.Members() {
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// Deadline returns how long clients of a class wait, in milliseconds; ok is false for a class that the
-// settings do not name.
+// Deadline returns how long clients of a class wait for an answer, in milliseconds; ok is false for a class
+// that the settings do not name.
 func (d *Dispatcher) Deadline(class string) (ms float64, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/edge/history.go
+++ b/internal/edge/history.go
@@ -102,7 +102,8 @@
 }
 
 // mayRepeat reports whether the attempt that routing chose may be made, given the attempts before it. If not,
-// routing has made a wrong decision: that is counted as a rule violation, and the caller fails the request.
+// routing has made a wrong decision: that is counted as a rule violation, and the caller fails the request. With
+// the fault hook CarryOutInvalidDecisions, the violation is counted but the attempt is permitted all the same.
 func (h *attemptHistory) mayRepeat(host string) bool {
 	if !h.mayHaveRun {
 		return true
@@ -117,7 +118,8 @@
 
 // reject returns the final answer for a request that is to be rejected. If the request may have run, and its
 // class does not make a retry harmless, the rejection is wrong: that is counted as a rule violation, and the
-// client is told that the request failed.
+// client is told that the request failed. With the fault hook CarryOutInvalidDecisions, the violation is counted
+// but the request is rejected all the same.
 func (h *attemptHistory) reject(reason metrics.RejectReason, retryAfter float64, detail string, cause routing.EndReason) Result {
 	class := h.class()
 	permit, decision := lifecycle.MayReject(lifecycle.RejectionFacts{
--- a/internal/lifecycle/phase.go
+++ b/internal/lifecycle/phase.go
@@ -12,6 +12,7 @@
 	Ended                    // the process is about to exit
 )
 
+// phaseNames are the names in logs and metrics. Terminating is called "cutting" there.
 var phaseNames = [...]string{"starting", "ready", "draining", "cutting", "ended"}
 
 // String returns the phase's name in logs and metrics.
--- a/internal/session/assignment.go
+++ b/internal/session/assignment.go
@@ -24,9 +24,10 @@
 	return a == other
 }
 
-// GroupFor returns the group that runs a transaction with the given route. If the query's comment names
-// another group than the rules do, it returns a *GroupMismatchError, because the transaction would write to a
-// group that does not serve the database.
+// GroupFor returns the group that runs a transaction with the given route. If the rules name no group, or the
+// assignment is Undecided, it is the route's group; else it is the group that the rules name. If the query's
+// comment names another group than the rules do, GroupFor returns a *GroupMismatchError, because the transaction
+// would write to a group that does not serve the database.
 func (a Assignment) GroupFor(database string, route *Route) (group uint64, err error) {
 	if !a.HasGroup || a.Undecided {
 		return route.Group, nil
--- a/internal/session/queue.go
+++ b/internal/session/queue.go
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// Expire removes all sessions whose deadline has passed, at any place in the queue, and passes them to
+// Expire removes from the queue all waiters whose deadline has passed, at any place in it, and passes them to
 // onExpired.
 func (q *Queue) Expire(now float64, onExpired func(*Waiter)) {
 	for e := q.waiters.Front(); e != nil; {
--- a/internal/session/route.go
+++ b/internal/session/route.go
@@ -79,6 +79,8 @@
 	return "the comment's " + e.Name + " is " + strconv.Quote(e.Value) + ", which is no number that fits"
 }
 
+// parseMillis parses a number of milliseconds from 0 to less than 1<<52. It returns strconv.ErrRange for any
+// invalid text, also for one that is no number.
 func parseMillis(s string) (float64, error) {
 	x, err := strconv.ParseFloat(s, 64)
 	if err != nil || !(x >= 0 && x < 1<<52) {
--- a/internal/session/settings.go
+++ b/internal/session/settings.go
@@ -102,7 +102,8 @@
 	return out.String()
 }
 
-// quoteName quotes a setting's name, so that it may contain any character.
+// quoteName quotes a setting's name, so that it may contain any character. For two settings it returns the SQL
+// keywords that stand for them in RESET instead, unquoted.
 func quoteName(name string) string {
 	switch name {
 	case "session_authorization":
--- a/internal/session/statements.go
+++ b/internal/session/statements.go
@@ -91,7 +91,8 @@
 	return p
 }
 
-// Release drops a reference to a statement, and removes the statement with the last one. p may be nil.
+// Release drops a reference to a statement, and removes the statement from the catalogue when no reference is
+// left. p may be nil.
 func (c *Catalogue) Release(p *PreparedStatement) {
 	if p == nil {
 		return
