--- a/internal/net/pg/front_client.go
+++ b/internal/net/pg/front_client.go
@@ -249,7 +249,7 @@
 	switch command.Kind {
 	case EncryptionRequest:
 		h.invalidRequests++
-		h.write(c, []byte{encryptionRefused}) // sent unencrypted
+		h.write(c, []byte{encryptionRefused}) // one byte, not a message; the connection stays unencrypted
 	case Startup:
 		h.cancelKey = newCancelKey(h.number)
 		h.front.cancelKeys[h.cancelKey] = h
--- a/internal/net/pg/front_close.go
+++ b/internal/net/pg/front_close.go
@@ -116,7 +116,9 @@
 	return gnet.Close
 }
 
-// Closed implements loop.Handler. It is called on the event loop.
+// Closed implements loop.Handler. It is called on the event loop. err is what gnet met while it read or wrote,
+// including the end of the client's stream; it is nil if this process closed the connection. A reason recorded
+// before the close stays; one is only derived from err if none was recorded.
 func (h *client) Closed(c gnet.Conn, err error) {
 	f := h.front
 	switch {
--- a/internal/net/pg/pool_conn.go
+++ b/internal/net/pg/pool_conn.go
@@ -53,12 +53,12 @@
 // execution returns what is known about the execution of a request that got no response.
 func (p writeProgress) execution() dispatch.Execution {
 	switch p {
-	case requestNotBegun:
+	case requestNotBegun: // the host received nothing
 		return dispatch.NotBegun
-	case requestBegun:
+	case requestBegun: // the host may have received a part; an incomplete request does not run
 		return dispatch.NotWritten
 	}
-	return dispatch.MayHaveRun
+	return dispatch.MayHaveRun // the host may have received all of it
 }
 
 // exchangeResult is the outcome of an exchange.
@@ -69,7 +69,8 @@
 }
 
 // Traffic is called on the event loop when data has arrived. A response stays in the connection's ring buffer
-// until it is complete.
+// until it is complete. The limit is on the unread bytes of all connections of the pool together: while the
+// total exceeds it, a connection that has unread bytes is closed when it receives more.
 func (c *conn) Traffic(g gnet.Conn) gnet.Action {
 	action := c.readResponse(g)
 	p := c.pool
@@ -83,6 +84,7 @@
 	return action
 }
 
+// countUnread sets this connection's share of the pool's unread bytes to n.
 func (c *conn) countUnread(n int) {
 	c.pool.unreadBytes += n - c.countedBytes
 	c.countedBytes = n
--- a/internal/net/pg/pool_exchange.go
+++ b/internal/net/pg/pool_exchange.go
@@ -101,6 +101,8 @@
 		return dispatch.Rejected
 	case r.sqlState != "":
 		return dispatch.ServerError
+	// The answer holds one value, so a successful response has one row. Its one column is checked by
+	// parseRowDescription.
 	case !r.completed || r.rows != 1:
 		return dispatch.Malformed
 	}
--- a/internal/net/pg/server_conn.go
+++ b/internal/net/pg/server_conn.go
@@ -278,7 +278,9 @@
 	return nil
 }
 
-// handshakeRejected handles the error with which a host ends the connection during startup.
+// handshakeRejected handles the error with which a host ends the connection during startup. SQLSTATE 53300 is a
+// rejection for lack of capacity. connectFailed treats every other error as a failure to connect. It is logged
+// here, so Traffic does not log the errHostClosing that is returned.
 func (s *serverConn) handshakeRejected(body []byte) error {
 	sqlState, text, _, _ := errorFields(body)
 	s.retired = true
--- a/internal/net/pg/server_pool.go
+++ b/internal/net/pg/server_pool.go
@@ -153,7 +153,7 @@
 func (p *serverPool) openForWaiters(f *SessionFront) {
 	l := f.limits.Load()
 	ps := l.poolFor(p.key.database, p.key.user)
-	if ps == nil || p.host.address == "" || !f.dispatcher.IsActive(p.host.name) { // the sweep routes the waiting sessions elsewhere
+	if ps == nil || p.host.address == "" || !f.dispatcher.IsActive(p.host.name) { // sweepHost routes the waiting sessions elsewhere
 		return
 	}
 	for n := p.queue.Len() - p.dialing; n > 0 && p.open < p.capacity(ps); n-- {
--- a/internal/net/pg/session_cancel.go
+++ b/internal/net/pg/session_cancel.go
@@ -81,8 +81,9 @@
 	}()
 }
 
-// cancelDelivered handles the outcome of delivering a cancel request. Once no request is pending, a
-// connection without a session returns to its pool; after a failed delivery it is retired.
+// cancelDelivered handles the outcome of an attempt to deliver a cancel request; err is not nil if the delivery
+// failed. The connection is then retired. Once no cancel request is pending, a connection without a session
+// returns to its pool, which closes a retired one.
 func (s *serverConn) cancelDelivered(err error) {
 	if s.cancellation.pending--; err != nil { // the request may still arrive and cancel a later query
 		slog.Warn("sessions: cancel request not delivered", "host", s.pool.host.name, "error", err)
--- a/internal/net/pg/session_client.go
+++ b/internal/net/pg/session_client.go
@@ -58,7 +58,10 @@
 	record    statementRecord
 	recovery  recoveryState
 
-	disconnected bool    // an error that ends the session was sent, or the connection is closed
+	// disconnected is set once the session has ended: an error that ends it was sent, or the connection is closed
+	// or being closed. After such an error the client may stay connected for up to maxLingerMillis; its further
+	// input is discarded.
+	disconnected bool
 	closedAt     float64 // clock milliseconds at which our side of the connection was shut down
 }
 
@@ -138,8 +141,8 @@
 	}
 }
 
-// closeWithError sends the client a fatal error and shuts down our side of the connection. The sweep closes
-// the connection after maxLingerMillis unless the client does so first.
+// closeWithError sends the client a fatal error and shuts down our side of the connection. The periodic
+// sweep (see sessionClient.sweep) closes the connection after maxLingerMillis unless the client does so first.
 func (c *sessionClient) closeWithError(state, text, detail string) gnet.Action {
 	if c.disconnected {
 		return gnet.None
--- a/internal/net/pg/session_forward.go
+++ b/internal/net/pg/session_forward.go
@@ -51,7 +51,10 @@
 	return append(out, message...)
 }
 
-// forwardQuery processes a simple query.
+// forwardQuery processes a simple query. It returns out with what goes to the server in place of the message: the
+// injected messages followed by the query, which may be replaced, or nothing if the pipeline drops it. ok is false
+// if the message is malformed. If the query is rejected, the server is sent a failing query in its place, so that
+// a transaction fails there too; its error is replaced by the rejection (see session.ErrorReply).
 func (c *sessionClient) forwardQuery(out, body, message []byte) (_ []byte, ok bool) {
 	text, rest, ok := cutString(body)
 	if !ok || len(rest) > 0 {
--- a/internal/net/pg/session_front.go
+++ b/internal/net/pg/session_front.go
@@ -26,8 +26,8 @@
 	names      WireNames
 	limits     atomic.Pointer[SessionLimits]
 	eventLoop  atomic.Value // gnet.EventLoop; unset until the first client connects
-	// addresses holds a single map of host names to addresses. Whoever receives the map has exclusive access
-	// until it is sent back.
+	// addresses holds a single map of host names to addresses and serves as its lock: whoever receives the map
+	// has exclusive access until it is sent back.
 	addresses         chan map[string]string
 	disabledGuarantee atomic.Value // string, set by DisableGuarantee
 
@@ -114,7 +114,7 @@
 		parameters:   parameterRegistry{seed: maphash.MakeSeed()},
 		backpressure: backpressureState{paused: map[*loop.PausableConn]func() bool{}},
 	}
-	f.addresses <- map[string]string{}
+	f.addresses <- map[string]string{} // makes the map available; see the field
 	f.limits.Store(&limits)
 	return f
 }
--- a/internal/net/pg/session_lost_block.go
+++ b/internal/net/pg/session_lost_block.go
@@ -1,5 +1,9 @@
 package pg
 
+// A lost block is a transaction block whose server connection was lost. The pooler answers the client's messages
+// in place of a server until the client ends the block, as a server answers them in a failed block, that is, a
+// transaction block that can only be rolled back after an error.
+
 import (
 	"strconv"
 
@@ -122,9 +126,9 @@
 	c.pipeline.SkipUntilSync()
 }
 
-// findForLostBlock returns a prepared statement that a failed block may run, or nil. With nil, isAnswered
-// says that the client was told that there is no such statement; otherwise the error of the block remains to
-// be sent.
+// findForLostBlock returns a prepared statement that a failed block may run, or nil. If it is nil, isAnswered
+// reports whether the client has been told that there is no such statement; if not, the caller has to send the
+// error of the block.
 func (c *sessionClient) findForLostBlock(name string) (prepared *session.PreparedStatement, isAnswered bool) {
 	prepared = c.pipeline.Find(name)
 	if prepared == nil {
--- a/internal/net/pg/session_startup.go
+++ b/internal/net/pg/session_startup.go
@@ -23,8 +23,8 @@
 }
 
 // handleStartup processes the messages of the startup phase: encryption and cancel requests, the startup
-// message and the authentication. used is the size of the message in bytes; 0: it is not complete, or the
-// client is disconnected.
+// message and the authentication. used is the size of the message in bytes. It is 0 if the message is not
+// complete, after a cancel request, which ends the connection, and if the client is disconnected.
 func (c *sessionClient) handleStartup(b []byte) (used int, action gnet.Action) {
 	if c.authentication != nil {
 		return c.authenticate(b)
--- a/internal/net/pg/tenant_stats.go
+++ b/internal/net/pg/tenant_stats.go
@@ -35,12 +35,13 @@
 	Sessions int    `json:"sessions"`
 }
 
-// Describe sets the group and the state from the database's assignment.
+// Describe sets the fields of s that follow from the database's assignment: State, PausedSince if the tenant is
+// paused, Fenced, and Group if the rules name one that is not undecided.
 func (s *TenantStats) Describe(assignment session.Assignment) {
 	if s.State = "open"; assignment.Paused {
 		s.State, s.PausedSince = "paused", assignment.PausedSince
 	} else if assignment.Undecided {
-		s.State = "fenced"
+		s.State = "fenced" // the group is undecided: Tenants.Admit rejects new transactions
 	}
 	if s.Fenced = assignment.Undecided; assignment.HasGroup && !assignment.Undecided {
 		s.Group = &assignment.Group
@@ -63,7 +64,7 @@
 	}
 }
 
-// collectTenantStats implements TenantStats on the event loop.
+// collectTenantStats returns the statistics of all tenants in order of their databases. It runs on the event loop.
 func (f *SessionFront) collectTenantStats() (stats []TenantStats) {
 	now := f.clock.Now()
 	for _, t := range f.tenancy.tenants.All() {
--- a/internal/net/pg/tenants.go
+++ b/internal/net/pg/tenants.go
@@ -56,7 +56,10 @@
 	}
 }
 
-// reassignTenants implements ReassignTenants on the event loop.
+// reassignTenants runs ReassignTenants on the event loop. Transactions that wait for a host to be chosen or for a
+// server connection, and whose assignment is no longer in force, are routed again in their order of arrival.
+// Sessions that keep an idle connection to a group which their database has left give it up, or are closed if
+// they are sticky. Then the queued transactions that may proceed now are released.
 func (f *SessionFront) reassignTenants() {
 	var stale []*sessionClient
 	for c := range f.clients.all {
@@ -131,6 +134,9 @@
 	}
 }
 
+// expireQueued rejects the queued transactions whose wait is over, and then continues with the input of their
+// clients. err is the reason that the client of the transaction gets. At most maxResumedPerTurn transactions are
+// rejected at once; the timer is set again for the rest.
 func (f *SessionFront) expireQueued() {
 	f.tenancy.nextExpiry = 0
 	now := f.clock.Now()
@@ -152,14 +158,17 @@
 	return session.TenantQueueLimits{PerTenant: p.MaxPausedTransactions, Total: l.MaxPausedTransactions, BytesPerTenant: l.MaxBytes / 4, TotalBytes: l.MaxBytes / 2, MaxPauseMillis: p.MaxPauseMillis}
 }
 
-// isAssignmentCurrent reports whether the assignment by which the transaction was routed is still in force.
+// isAssignmentCurrent reports whether the assignment by which the transaction was routed is still in force. It is
+// for a transaction of which nothing was sent: any change that Assignment.Equal detects, also a pause, makes it
+// false. For a connection that the session keeps between transactions see isAssignmentMoved.
 func (c *sessionClient) isAssignmentCurrent() bool {
 	f := c.front
 	return f.tenancy.assignments == nil || f.tenancy.assignments.Assignment(c.identity.database, f.clock.Now()).Equal(c.tenancy.assignment)
 }
 
 // isAssignmentMoved reports whether the database is now assigned to another group than that of the connection
-// which the session keeps.
+// which the session keeps. Unlike isAssignmentCurrent, it compares the groups alone, and it returns false while
+// the tenant is paused or its group is undecided. An error of GroupFor counts as moved.
 func (c *sessionClient) isAssignmentMoved() bool {
 	f := c.front
 	if f.tenancy.assignments == nil {
--- a/internal/session/assignment.go
+++ b/internal/session/assignment.go
@@ -10,7 +10,8 @@
 	// HasGroup is set if the rules name a group; Group is valid only then.
 	HasGroup bool
 	// Undecided is set while two versions of the rules that name different groups are both in use, or while
-	// this pooler has no lease.
+	// this pooler has no lease. Tenants.Admit then rejects the tenant's transactions, or queues them if the
+	// tenant is paused. Statistics show the state as fenced.
 	Undecided bool
 	// Paused is set if new transactions have to wait.
 	Paused bool
