--- a/internal/lifecycle/shutdown.go
+++ b/internal/lifecycle/shutdown.go
@@ -25,7 +25,7 @@
 
 // ShutdownSchedule says when, after SIGTERM, the process goes from one phase to the next. It follows from the
 // time that the platform grants. A request that was accepted before DrainAt can still be answered until
-// CutAt: the time between the two is at least the longest deadline, or drainTime if that is shorter.
+// TerminateAt: the time between the two is at least the longest deadline, or drainTime if that is shorter.
 type ShutdownSchedule struct {
 	DrainAt     time.Duration // client connections are closed between requests; until then they are served as usual
 	TerminateAt time.Duration // each open request gets its final answer
--- a/internal/lifecycle/shutdown_test.go
+++ b/internal/lifecycle/shutdown_test.go
@@ -8,8 +8,8 @@
 )
 
 // For every longest deadline: the phases are in order, the process has ended before SIGKILL may be sent, no
-// connection is closed while new ones arrive, and the time from DrainAt to CutAt is at least the longest
-// deadline or 750 ms.
+// connection is closed while new ones arrive, and the time from DrainAt to TerminateAt is at least the
+// longest deadline, or 750 ms if that is shorter.
 func TestShutdownScheduleEndsBeforeKill(t *testing.T) {
 	for deadline := 50 * time.Millisecond; deadline <= 20*time.Second; deadline += time.Millisecond {
 		s := NewShutdownSchedule(deadline)
--- a/internal/net/pg/front.go
+++ b/internal/net/pg/front.go
@@ -44,7 +44,8 @@
 	// replyBatchBytes is the size from which immediate replies that were gathered are written in one system
 	// call.
 	replyBatchBytes = 16 << 10
-	// pressureFraction is the divisor of FrontLimits.Clients above whose result the table is under pressure.
+	// pressureFraction: the table is under pressure while more client connections are open than
+	// FrontLimits.MaxClients divided by pressureFraction.
 	pressureFraction = 5
 	// maxShutdownReadBytes is how much of its input is read when a connection is rejected right after its
 	// accept.
@@ -56,8 +57,8 @@
 
 // FrontLimits are the limits of a Front.
 type FrontLimits struct {
-	// Clients is the maximum number of client connections. One eighth of them is reserved for connections that
-	// are rejected with an error because the rest is in use.
+	// MaxClients is the maximum number of client connections. One eighth of them is reserved for connections
+	// that are rejected with an error because the rest is in use.
 	MaxClients int
 	// MaxUnreadBytes is the maximum size of the unprocessed input of all clients together.
 	MaxUnreadBytes int
--- a/internal/net/pg/session_front.go
+++ b/internal/net/pg/session_front.go
@@ -297,7 +297,7 @@
 }
 
 // boundUnsent disconnects the clients with the most unsent bytes until the total is within
-// SessionLimits.Bytes. Pausing the server connection bounds the unsent bytes of one client while its
+// SessionLimits.MaxBytes. Pausing the server connection bounds the unsent bytes of one client while its
 // transaction runs; after the transaction the client still holds what it has not read, so the total needs a
 // bound of its own.
 func (f *SessionFront) boundUnsent(unsent int) {
--- a/internal/net/pg/session_limits.go
+++ b/internal/net/pg/session_limits.go
@@ -37,7 +37,7 @@
 type SessionLimits struct {
 	MaxClients           int // client connections
 	MaxServerConnections int // server connections that are open or being opened, to all hosts together
-	// Bytes bounds the bytes from clients that wait here, the bytes unsent to clients, and the prepared
+	// MaxBytes bounds the bytes from clients that wait here, the bytes unsent to clients, and the prepared
 	// statements, each of the three separately.
 	MaxBytes              int
 	MaxMessageBytes       int // bytes of one message from a client
